--- a/modules/forward/exchange.cpp
+++ b/modules/forward/exchange.cpp
@@ -175,7 +175,7 @@
         .unqueuedSeconds = chosen.unqueuedSeconds,
         .leastWaitSeconds = chosen.leastWaitSeconds,
         .objectiveSeconds = objectiveSecondsLeft(),
-        .moreUrgent = moreUrgent.kinds,
+        .moreUrgent = moreUrgent.priorities,
         .moreUrgentObjectiveSeconds = std::chrono::duration<double>(moreUrgent.shortestObjective).count(),
     });
 }
--- a/modules/traffic/endpoint_life.h
+++ b/modules/traffic/endpoint_life.h
@@ -1,4 +1,5 @@
-// Which life of an endpoint is meant: a restart under the same id knows and holds nothing of the life before.
+// Identifies one incarnation of an endpoint: its id plus its start time. An endpoint that restarts under the same id has no state from
+// before the restart.
 #pragma once
 
 #include <compare>
@@ -10,7 +11,8 @@
 
 struct EndpointLife {
     std::string id {};
-    std::uint64_t born { 0 }; // When it started, in milliseconds since 1970 as it says itself; 0 where it says nothing: the oldest life.
+    // Start time in milliseconds since 1970, as the endpoint reports it; 0 if it does not, which counts as the oldest incarnation.
+    std::uint64_t born { 0 };
 
     auto operator<=>(const EndpointLife&) const = default;
 
@@ -18,7 +20,7 @@
     void serialize(Archive& archive) { archive(id, born); }
 };
 
-// The same in every process of a fleet. A life that names no start hashes as its id alone.
+// Returns the same hash in every process of a fleet. An incarnation without a start time has the hash of its id alone.
 inline std::uint64_t hashOf(const EndpointLife& life) { return std::hash<std::string> {}(life.id) ^ life.born * 0x9e3779b97f4a7c15U; }
 
 } // namespace Onyxnotch
--- a/modules/traffic/endpoint_list.h
+++ b/modules/traffic/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoints as the platform's list tells them, as immutable values.
+// The list of endpoints as the platform's store has it, as immutable values.
 #pragma once
 
 #include "core/clock.h"
@@ -12,26 +12,27 @@
 
 namespace Onyxnotch {
 
-// One life of an endpoint, as its entry tells.
+// One incarnation of an endpoint, as its entry in the store describes it.
 struct ListedEndpoint {
     std::string id {};
-    std::uint64_t born { 0 }; // See EndpointLife.
+    std::uint64_t born { 0 }; // Start time in milliseconds since 1970; see EndpointLife.
     std::string service {};
     Address address {};
     std::string zone {};
-    std::string version {}; // Of its software.
-    unsigned slots { 1 };
-    bool leaving { false };
-    bool reclaimable { false }; // It may be taken away with little notice.
-    std::optional<Milliseconds> leavesIn {}; // From when the entry was read, where the platform said so.
+    std::string version {}; // Version of the endpoint's software.
+    unsigned slots { 1 }; // Requests that the endpoint executes at the same time.
+    bool leaving { false }; // The endpoint is draining.
+    bool reclaimable { false }; // The instance is preemptible: it may be reclaimed at short notice.
+    // Time until the endpoint is removed, counted from when the entry was read; nullopt if the platform gives none.
+    std::optional<Milliseconds> leavesIn {};
 
     bool operator==(const ListedEndpoint&) const = default;
     EndpointLife life() const { return { .id = id, .born = born }; }
 };
 
 struct EndpointList {
-    std::uint64_t revision { 0 }; // Of the platform's store.
-    std::map<std::string, ListedEndpoint> endpoints {}; // By id; those that have gone are left out.
+    std::uint64_t revision { 0 }; // Revision of the platform's store.
+    std::map<std::string, ListedEndpoint> endpoints {}; // By endpoint id; removed endpoints are not included.
 
     bool operator==(const EndpointList&) const = default;
 };
--- a/modules/traffic/marked_list.h
+++ b/modules/traffic/marked_list.h
@@ -1,4 +1,5 @@
-// The list with what is known beyond it: endpoints that leave by their own word, or by another node's, while their entries say nothing.
+// Adds to an endpoint list which endpoints are draining according to themselves or to another node, where the store's entries do not show
+// it yet.
 #pragma once
 
 #include "modules/traffic/endpoint_list.h"
@@ -6,7 +7,7 @@
 
 namespace Onyxnotch {
 
-// The same list where nothing is to be added.
+// Returns a copy of the list in which the incarnations in `leaving` are marked as draining, or the same list if none needs the mark.
 std::shared_ptr<const EndpointList> withLeaving(const std::shared_ptr<const EndpointList>&, const std::vector<EndpointLife>& leaving);
 
 } // namespace Onyxnotch
--- a/modules/traffic/traffic_configuration.h
+++ b/modules/traffic/traffic_configuration.h
@@ -1,4 +1,4 @@
-// What operators have declared about requests: routes, services, teams and limits, as one immutable value with an index.
+// The configuration that operators declare for requests (routes, services, teams, limits), as one immutable value with indexes.
 #pragma once
 
 #include "core/clock.h"
@@ -13,14 +13,14 @@
 
 namespace Onyxnotch {
 
-// What may be done with a request that failed.
+// Whether a request may be sent again after an attempt that may have executed it.
 enum class RequestKind {
-    Idempotent, // May run more than once.
-    AtMostOnce, // May run once for each id.
-    Stream, // A series of events; at most once unless the route is resumable.
+    Idempotent, // May be executed more than once.
+    AtMostOnce, // May be executed once for each request id.
+    Stream, // The response is a series of events. Executed at most once, unless the route is resumable.
 };
 
-// A part of a route's requests that goes to one service.
+// The share of a route's requests that goes to one service, proportional to `weight`.
 struct SplitTarget {
     std::string service {};
     double weight { 1 };
@@ -33,34 +33,35 @@
     std::string host {}; // In lower case.
     std::string pathPrefix {};
     RequestKind kind { RequestKind::AtMostOnce };
-    Milliseconds timeout { 15000 }; // The longest time that a request is held.
-    Milliseconds objective { 1000 }; // To the answer, or to a stream's first event.
-    Milliseconds pauseObjective { 0 }; // Between two events of a stream; 0 where there is none.
+    Milliseconds timeout { 15000 }; // Maximum time from a request's arrival to the end of its response.
+    Milliseconds objective { 1000 }; // Target time to the response, or to a stream's first event.
+    Milliseconds pauseObjective { 0 }; // Target time between two events of a stream; 0 for no target.
     int priority { 5 }; // 0 is the most urgent.
     std::vector<SplitTarget> targets {};
-    unsigned maximumAttempts { 1 }; // Endpoints that one request may be sent to.
-    bool isPublic { false }; // Needs no key.
-    bool resumable { false };
+    unsigned maximumAttempts { 1 }; // Attempts per request, not counting those that endpoints did not execute.
+    bool isPublic { false }; // Requests need no key.
+    bool resumable { false }; // A failed stream may continue at another endpoint, after the last event that was passed on.
 
     bool operator==(const TrafficRoute&) const = default;
-    // Whether it may run again after it may have run.
+    // Whether a request may be sent again after an attempt that may have executed it.
     bool repeatable() const { return kind == RequestKind::Idempotent || (kind == RequestKind::Stream && resumable); }
 };
 
-// Of one engine of a service that runs models.
+// Capacity of one inference engine of a service.
 struct EngineProfile {
-    unsigned slots { 64 };
-    double memoryTokens { 0 }; // Of the prefix memory that running requests and kept prefixes share.
+    unsigned slots { 64 }; // Requests that the engine executes at the same time.
+    double memoryTokens { 0 }; // Size, in tokens, of the memory that running requests and cached prefixes share.
 
     bool operator==(const EngineProfile&) const = default;
 };
 
-// How many endpoints of a service may be ordered, and what they cost.
+// How many endpoints of a service the scaler may start, and their relative prices.
 struct ScalingBounds {
-    unsigned minimum { 1 }; // In each availability zone.
+    unsigned minimum { 1 }; // Endpoints in each availability zone.
     unsigned maximum { 1 };
-    Milliseconds bootTime { 4000 };
-    double reclaimablePrice { 1 }; // As a part of the on-demand price; 1 where there are none.
+    Milliseconds bootTime { 4000 }; // Time from the order of an endpoint until it is ready.
+    // Price of a reclaimable instance as a fraction of the on-demand price; 1 if there are no reclaimable instances.
+    double reclaimablePrice { 1 };
     std::map<std::string, double> zonePrices {};
 
     bool operator==(const ScalingBounds&) const = default;
@@ -69,7 +70,7 @@
 struct TrafficService {
     std::string name {};
     std::string healthPath {};
-    unsigned maximumConnections { 100 }; // To one endpoint, from all nodes together.
+    unsigned maximumConnections { 100 }; // Connections to one endpoint, from all nodes together.
     std::optional<EngineProfile> engine {};
     std::optional<ScalingBounds> scaling {};
 
@@ -79,21 +80,21 @@
 struct TrafficTeam {
     std::string name {};
     std::vector<std::string> keys {};
-    std::optional<int> priority {}; // Goes before the route's.
-    bool countsTokens { false }; // The limit is in tokens, not in requests.
-    double defaultTokens { 1 }; // Of a request that names no token counts.
-    double ratePerSecond { 0 }; // 0 for no limit.
-    double burst { 0 };
+    std::optional<int> priority {}; // Overrides the route's priority.
+    bool countsTokens { false }; // The limit counts tokens instead of requests.
+    double defaultTokens { 1 }; // Charged for a request that does not state its token counts.
+    double ratePerSecond { 0 }; // Requests or tokens per second; 0 for no limit.
+    double burst { 0 }; // Requests or tokens that the team may use at once (capacity of its token bucket).
 
     bool operator==(const TrafficTeam&) const = default;
 };
 
-// What a request has to let pass.
-struct MoreUrgent {
-    unsigned kinds { 0 }; // Different priorities.
+// The more urgent requests that a request has to give way to.
+struct MoreUrgentRequests {
+    unsigned priorities { 0 }; // Number of different priorities among them.
     Milliseconds shortestObjective { Milliseconds::max() };
 
-    bool operator==(const MoreUrgent&) const = default;
+    bool operator==(const MoreUrgentRequests&) const = default;
 };
 
 struct CallerLimits {
@@ -105,7 +106,7 @@
     bool operator==(const CallerLimits&) const = default;
 };
 
-// The declared values, as a source delivers them.
+// The declared values, as the configuration source delivers them.
 struct TrafficDeclaration {
     std::uint64_t version { 0 };
     std::vector<TrafficRoute> routes {};
@@ -116,31 +117,33 @@
     bool operator==(const TrafficDeclaration&) const = default;
 };
 
-// The declaration with the indexes that a request needs. Immutable, shared between threads.
+// A declaration with indexes for looking up routes, teams and services. Immutable, shared between threads.
 class TrafficConfiguration {
 public:
     explicit TrafficConfiguration(TrafficDeclaration);
 
     std::uint64_t version() const { return m_declaration.version; }
     const TrafficDeclaration& declaration() const { return m_declaration; }
-    // The route with the longest prefix that begins the path; nullptr where there is none. `host` may hold a port.
+    // Returns the route of this host with the longest `pathPrefix` that the path begins with, or nullptr. A port in `host` is ignored.
     const TrafficRoute* findRoute(std::string_view host, std::string_view path) const;
     const TrafficTeam* findTeam(const std::string& key) const;
-    const TrafficTeam* teamNamed(const std::string& name) const;
+    const TrafficTeam* findTeamByName(const std::string& name) const;
     const TrafficService* findService(const std::string& name) const;
-    // Of the requests that go to this service, those that are more urgent than this priority.
-    MoreUrgent moreUrgent(const std::string& service, int priority) const;
+    // Summarizes the requests to this service that are more urgent than `priority`.
+    MoreUrgentRequests moreUrgent(const std::string& service, int priority) const;
     bool needsKeys() const { return !m_declaration.teams.empty(); }
 
 private:
     TrafficDeclaration m_declaration;
-    std::unordered_map<std::string, std::vector<const TrafficRoute*>> m_routesOfHost {}; // The longest prefix first.
-    std::unordered_map<std::string, const TrafficTeam*> m_teamOfKey {};
+    std::unordered_map<std::string, std::vector<const TrafficRoute*>> m_routesByHost {}; // By normalized host; the longest prefix first.
+    std::unordered_map<std::string, const TrafficTeam*> m_teamsByKey {};
     std::unordered_map<std::string, const TrafficService*> m_services {};
-    std::unordered_map<std::string, std::map<int, Milliseconds>> m_objectivesOfService {}; // The shortest of each priority.
+    // By service, then by priority: the shortest objective.
+    std::unordered_map<std::string, std::map<int, Milliseconds>> m_objectivesByService {};
 };
 
-// Chooses a service by the weights: `selector` is spread evenly over all its values, for instance a hash of the request's id.
+// Chooses one of the route's services by weight. `selector` must be uniformly distributed, e.g. a hash of the request's id. Returns an
+// empty string if the route has no targets.
 const std::string& chooseTarget(const TrafficRoute&, std::uint64_t selector);
 
 } // namespace Onyxnotch
--- a/modules/traffic/traffic_view.h
+++ b/modules/traffic/traffic_view.h
@@ -1,4 +1,4 @@
-// What the request path reads on each request: immutable values that the control thread replaces whole.
+// The configuration and endpoint list that the request path reads for each request: immutable values, replaced by the control thread.
 #pragma once
 
 #include "modules/traffic/endpoint_list.h"
@@ -7,13 +7,14 @@
 
 namespace Onyxnotch {
 
-// Read-copy-update: readers take the pointer and keep the value as long as they need it.
+// Read-copy-update: a reader gets a shared pointer, and the value stays valid while the reader has it. Thread-safe, for one writer.
 class TrafficView {
 public:
     std::shared_ptr<const TrafficConfiguration> configuration() const { return m_configuration.load(); }
     std::shared_ptr<const EndpointList> endpoints() const { return m_endpoints.load(); }
 
-    // Returns whether it was newer than what stood there: versions only rise in the life of a process.
+    // Replaces the configuration if the version is newer than the current one, and returns whether it was: within a process, versions only
+    // increase.
     bool offer(std::shared_ptr<const TrafficConfiguration> configuration)
     {
         auto current = m_configuration.load();
--- a/tests/modules/traffic/test_marked_list.cpp
+++ b/tests/modules/traffic/test_marked_list.cpp
@@ -6,8 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(MarkedLists)
 
-// What orders replacements read the entry alone, which said "ready" for as long as the store was away.
-BOOST_AUTO_TEST_CASE(an_endpoint_that_leaves_by_its_own_word_counts_as_leaving)
+// Guards against late replacements: the component that orders them read only the store's entries, which stayed "ready" while the store was
+// unreachable.
+BOOST_AUTO_TEST_CASE(an_endpoint_that_reports_draining_is_marked)
 {
     auto list = std::make_shared<EndpointList>();
     list->endpoints["a"] = { .id = "a", .born = 1 };
@@ -15,7 +16,7 @@
     auto marked = withLeaving(list, { { .id = "a", .born = 1 } });
     BOOST_TEST(marked->endpoints.at("a").leaving);
     BOOST_TEST(!list->endpoints.at("a").leaving);
-    // Another life, one that the list tells already, one that is not listed.
+    // Another incarnation, an endpoint already marked as draining, and an endpoint that is not listed.
     BOOST_TEST((withLeaving(list, { { .id = "a", .born = 2 }, { .id = "b", .born = 1 }, { .id = "c", .born = 1 } }) == list));
     BOOST_TEST(!withLeaving(nullptr, { { .id = "a", .born = 1 } }));
 }
--- a/tests/modules/traffic/test_traffic_configuration.cpp
+++ b/tests/modules/traffic/test_traffic_configuration.cpp
@@ -18,7 +18,7 @@
     BOOST_TEST(!configuration.findRoute("none.example", "/a/"));
 }
 
-BOOST_AUTO_TEST_CASE(keys_lead_to_their_team)
+BOOST_AUTO_TEST_CASE(a_team_is_found_by_each_of_its_keys)
 {
     TrafficConfiguration configuration({ .version = 1, .teams = { { .name = "t", .keys = { "k1", "k2" } } } });
     BOOST_TEST(configuration.findTeam("k2")->name == "t");
@@ -37,7 +37,7 @@
     BOOST_TEST(counts["b"] == 102);
 }
 
-BOOST_AUTO_TEST_CASE(no_older_version_comes_back)
+BOOST_AUTO_TEST_CASE(an_older_version_does_not_replace_a_newer_one)
 {
     TrafficView view;
     auto version = [](std::uint64_t number) { return std::make_shared<const TrafficConfiguration>(TrafficDeclaration { .version = number }); };
