--- a/modules/forward/endpoint_call.h
+++ b/modules/forward/endpoint_call.h
@@ -63,8 +63,8 @@
     std::shared_ptr<AsyncConnection> m_connection {};
     HttpParser m_parser;
     bool m_isConnectionLimitReached { false };
-    bool m_isRequestSent { false };
-    bool m_isConnectionClosed { false };
+    bool m_isRequestSent { false }; // All bytes of the request are written.
+    bool m_isConnectionClosed { false }; // By the endpoint, or by cancel().
     bool m_isCancelled { false };
     bool m_isConnectionLost { false };
 };
--- a/modules/forward/exchange.cpp
+++ b/modules/forward/exchange.cpp
@@ -131,14 +131,14 @@
     m_context.retries.onRequest(m_service->name);
     m_context.demand.onBegin(m_service->name);
     m_client->watch([this] {
-        m_isClientGone = true;
+        m_isClientDisconnected = true;
         if (m_call)
             m_call->cancel();
     });
     auto result = co_await runAttempts();
     m_client->unwatch();
     m_context.demand.onEnd(m_service->name, m_firstEventMilliseconds >= 0);
-    co_return m_isClientGone ? ExchangeResult::Close : result;
+    co_return m_isClientDisconnected ? ExchangeResult::Close : result;
 }
 
 double Exchange::objectiveSecondsLeft() const
@@ -203,7 +203,7 @@
     // Endpoints in a row that may deny a credit before the request is refused with Retry-After, instead of asking every endpoint.
     constexpr std::size_t maximumCreditDenials = 4;
     m_creditDenials = 0;
-    while (m_creditDenials < maximumCreditDenials && !m_isClientGone) {
+    while (m_creditDenials < maximumCreditDenials && !m_isClientDisconnected) {
         auto chosen = m_context.endpoints.choose(request, steadyNow());
         if (!chosen)
             co_return std::nullopt;
@@ -245,7 +245,7 @@
         }
         auto request = endpointRequest();
         auto chosen = co_await selectEndpoint(request);
-        if (m_isClientGone) {
+        if (m_isClientDisconnected) {
             if (chosen)
                 releaseCredit(chosen->endpoint->listed.life());
             m_attemptTracker.onEnd(AttemptOutcome::CallerLeft);
@@ -298,7 +298,7 @@
     if (!m_isSent)
         releaseCredit(chosen.endpoint->listed.life());
     m_hasCredit = false;
-    if (m_isClientGone)
+    if (m_isClientDisconnected)
         outcome = AttemptOutcome::CallerLeft;
     if (m_isSent)
         updateSuspects(call, chosen.endpoint->listed, outcome);
@@ -550,7 +550,7 @@
     // A client that reads slowly delays only its own request, until the deadline. Every write gets at least this long.
     constexpr Milliseconds minimumWriteTime { 1000 };
     auto ec = co_await m_client->write(bytes, std::max(m_deadline, steadyNow() + minimumWriteTime));
-    co_return !ec && !m_isClientGone;
+    co_return !ec && !m_isClientDisconnected;
 }
 
 } // namespace Onyxnotch
--- a/modules/forward/exchange.h
+++ b/modules/forward/exchange.h
@@ -128,7 +128,7 @@
     SteadyTime m_firstEventAt {}; // When this attempt received its first event; SteadyTime {} if it has not.
     bool m_isVersionMixed { false }; // Whether the service runs several versions, so that this attempt's outcome counts in comparing them.
     long m_firstEventMilliseconds { -1 }; // From the request's arrival to the first event; -1 if there was none.
-    bool m_isClientGone { false };
+    bool m_isClientDisconnected { false };
     AttemptTracker m_attemptTracker {};
     std::optional<RequestDigest> m_digest {}; // Computed by the first call of digest().
     std::vector<std::string> m_triedEndpoints {}; // Ids of the endpoints of all attempts.
