--- a/modules/entry/entry_control.cpp
+++ b/modules/entry/entry_control.cpp
@@ -13,18 +13,19 @@
 
 namespace {
 
-    constexpr Milliseconds controlStep { 100 }; // How often the control thread looks after endpoints and peers' versions.
-    // After a page that did not come: nodes that ask the same peer are not to come back together.
-    constexpr Milliseconds shortestFetchPause { 100 };
-    constexpr Milliseconds longestFetchPause { 800 };
-    // For how long after the start the store's own list is waited for, before a peer is asked for all endpoints.
-    constexpr Milliseconds ownListFirst { 2000 };
-    constexpr Milliseconds aloneAfter { 2000 }; // Without any peer, the store is asked where the others are.
+    constexpr Milliseconds controlPeriod { 100 }; // Period of the control thread's checks of endpoints and of the versions that peers have.
+    // Backoff after a failed fetch of endpoints, doubled up to the maximum and randomized, so that nodes do not retry at one peer at once.
+    constexpr Milliseconds minimumFetchBackoff { 100 };
+    constexpr Milliseconds maximumFetchBackoff { 800 };
+    // Time after the start in which the store's list of endpoints is expected, before the complete list is fetched from a peer.
+    constexpr Milliseconds storeListWait { 2000 };
+    // Between attempts to register, and between reads of the other nodes while no peer is alive.
+    constexpr Milliseconds nodeDiscoveryPeriod { 2000 };
     constexpr auto configurationName = "main";
-    // How old a page of endpoints is on average when it comes from a peer: a row, and the fetching; with relays, two sums more.
-    constexpr Milliseconds pageAge { 250 };
-    constexpr Milliseconds pageAgeInFleet { 750 };
-    // Where a node learnt something, in its log.
+    // Average age of endpoints fetched from a peer: one gossip row and the fetch; with relay nodes also two aggregates.
+    constexpr Milliseconds peerPageAge { 250 };
+    constexpr Milliseconds relayedPageAge { 750 };
+    // Values of the log field `source`.
     constexpr std::string_view storeSource = "store";
     constexpr std::string_view peerSource = "peer";
 
@@ -41,8 +42,8 @@
           context, *store, StoreKind::Endpoints, [this](const auto& objects, bool) { onEndpoints(objects); }, entryNode.m_options.follower)
     , duties(context, *store, *cloud, entryNode.m_view, entryNode.m_summary, dutyOptions(entryNode))
     , rollouts(context, *store, entryNode.m_view, entryNode.m_summary, entryNode.m_versionShares, rolloutPorts(), entryNode.m_options.rollouts)
-    , blocked(context, *store, [this](std::vector<KeptRequest> kept) { giveBlocked(std::move(kept)); })
-    , pages(context, entryNode.m_options.control, [this](const HttpHead& head) { return answerPage(head); })
+    , blockedRequests(context, *store, [this](std::vector<KeptRequest> kept) { passBlockedRequests(std::move(kept)); })
+    , controlServer(context, entryNode.m_options.control, [this](const HttpHead& head) { return answerPage(head); })
 {
 }
 
@@ -60,53 +61,53 @@
 
 Status EntryNode::ControlSide::start()
 {
-    auto started = pages.start();
+    auto started = controlServer.start();
     if (!started)
         return started;
-    auto wanted = [this] { return node.m_summary.get()->watchesStore; };
-    configurations.setWanted(wanted);
-    endpoints.setWanted(wanted);
+    auto isWatchWanted = [this] { return node.m_summary.get()->watchesStore; };
+    configurations.setWanted(isWatchWanted);
+    endpoints.setWanted(isWatchWanted);
     auto pauseFactor = [this] { return node.m_summary.get()->watchPauseFactor; };
     configurations.setPauseFactor(pauseFactor);
     endpoints.setPauseFactor(pauseFactor);
     asio::co_spawn(context, configurations.run(), asio::detached);
     asio::co_spawn(context, endpoints.run(), asio::detached);
-    const auto& own = node.m_options.duties;
-    if (own.reportsUsage || own.ordersEndpoints)
+    const auto& ownDuties = node.m_options.duties;
+    if (ownDuties.reportsUsage || ownDuties.ordersEndpoints)
         asio::co_spawn(context, duties.run(), asio::detached);
     asio::co_spawn(context, rollouts.run(), asio::detached);
     auto& requests = *node.m_requests;
-    requests.keepBlocked = [this](const KeptRequest& kept) { asio::post(context, [this, kept] { blocked.keep(kept); }); };
-    requests.dropBlocked = [this](const RequestDigest& request) { asio::post(context, [this, request] { blocked.drop(request); }); };
-    asio::co_spawn(context, blocked.run(), asio::detached);
-    asio::co_spawn(context, lookAfter(), asio::detached);
+    requests.saveBlockedRequest = [this](const KeptRequest& kept) { asio::post(context, [this, kept] { blockedRequests.keep(kept); }); };
+    requests.deleteBlockedRequest = [this](const RequestDigest& request) { asio::post(context, [this, request] { blockedRequests.drop(request); }); };
+    asio::co_spawn(context, blockedRequests.run(), asio::detached);
+    asio::co_spawn(context, runPeriodicChecks(), asio::detached);
     asio::co_spawn(context, followConfiguration(), asio::detached);
     asio::co_spawn(context, followEndpoints(), asio::detached);
-    asio::co_spawn(context, findNodes(), asio::detached);
+    asio::co_spawn(context, discoverNodes(), asio::detached);
     return success();
 }
 
-void EntryNode::ControlSide::giveBlocked(std::vector<KeptRequest> kept)
+void EntryNode::ControlSide::passBlockedRequests(std::vector<KeptRequest> kept)
 {
     auto& requests = *node.m_requests;
-    asio::post(requests.context, [&requests, kept = std::move(kept)] { requests.restoreBlocked(kept); });
+    asio::post(requests.context, [&requests, kept = std::move(kept)] { requests.restoreBlockedRequests(kept); });
 }
 
 HttpResponse EntryNode::ControlSide::answerPage(const HttpHead& head)
 {
     if (head.target == "/metrics")
         return { .contentType = "text/plain; version=0.0.4", .body = node.m_metrics.serialize() };
-    return givenPages.answer(head.target, history);
+    return pageServer.answer(head.target, history);
 }
 
 void EntryNode::ControlSide::onConfigurations(const std::map<std::string, StoreObject>& objects)
 {
     auto it = objects.find(configurationName);
     if (it != objects.end())
-        takeConfiguration(it->second.value, storeSource);
+        applyConfiguration(it->second.value, storeSource);
 }
 
-void EntryNode::ControlSide::takeConfiguration(const nlohmann::json& document, std::string_view source)
+void EntryNode::ControlSide::applyConfiguration(const nlohmann::json& document, std::string_view source)
 {
     auto declaration = node.m_ports.decodeDeclaration(document);
     if (!declaration) {
@@ -117,51 +118,51 @@
     auto routes = declaration.value().routes.size();
     if (!node.m_view.offer(std::make_shared<const TrafficConfiguration>(std::move(declaration.value()))))
         return;
-    givenPages.setConfiguration(document.dump());
+    pageServer.setConfiguration(document.dump());
     logEvent(LogLevel::Info, "configuration_in_force", { { "version", version }, { "source", source }, { "routes", routes } });
 }
 
 void EntryNode::ControlSide::onEndpoints(const std::map<std::string, StoreObject>& objects)
 {
     history.take(objects, endpoints.revision());
-    takeEndpoints(storeSource);
+    applyEndpoints(storeSource);
 }
 
-const std::optional<ListedEndpoint>& EntryNode::ControlSide::readEntry(const std::string& id, const EndpointHistory::Entry& entry)
+const std::optional<ListedEndpoint>& EntryNode::ControlSide::decodeEntry(const std::string& id, const EndpointHistory::Entry& entry)
 {
-    auto& known = readEntries[id];
-    if (known.hash == entry.hash)
-        return known.endpoint;
-    known.hash = entry.hash;
-    known.endpoint.reset();
+    auto& decoded = decodedEntries[id];
+    if (decoded.hash == entry.hash)
+        return decoded.endpoint;
+    decoded.hash = entry.hash;
+    decoded.endpoint.reset();
     auto endpoint = node.m_ports.decodeEndpoint(id, entry.value);
     if (endpoint)
-        known.endpoint = std::move(endpoint.value());
+        decoded.endpoint = std::move(endpoint.value());
     else
-        noteRefused(id, endpoint.error());
-    return known.endpoint;
+        reportRefusedEntry(id, endpoint.error());
+    return decoded.endpoint;
 }
 
-void EntryNode::ControlSide::noteRefused(const std::string& id, const Error& error)
+void EntryNode::ControlSide::reportRefusedEntry(const std::string& id, const Error& error)
 {
     node.m_metrics.increment("onyxnotch_entry_refused_entries_total", {});
-    if (refusedLines.take(steadyNow()))
+    if (refusedEntryLogBudget.take(steadyNow()))
         logEvent(LogLevel::Warning, "endpoint_refused", { { "endpoint", readableText(id) }, { "error", readableText(error.message) } });
 }
 
-void EntryNode::ControlSide::takeEndpoints(std::string_view source)
+void EntryNode::ControlSide::applyEndpoints(std::string_view source)
 {
     std::map<std::string, ListedEndpoint> entries;
     std::set<std::string> refused;
     for (const auto& [id, entry] : history.entries()) {
-        if (const auto& endpoint = readEntry(id, entry))
+        if (const auto& endpoint = decodeEntry(id, entry))
             entries.emplace_hint(entries.end(), id, *endpoint);
         else
             refused.insert(id);
     }
-    std::erase_if(readEntries, [&](const auto& it) { return !history.entries().contains(it.first); });
+    std::erase_if(decodedEntries, [&](const auto& it) { return !history.entries().contains(it.first); });
     node.m_controlState.endpointsRevision = history.revision();
-    auto age = source == peerSource ? (node.m_summary.get()->alivePeers >= node.m_options.watching.everyNodeUpTo ? pageAgeInFleet : pageAge) : Milliseconds(0);
+    auto age = source == peerSource ? (node.m_summary.get()->alivePeers >= node.m_options.watching.everyNodeUpTo ? relayedPageAge : peerPageAge) : Milliseconds(0);
     registry.update(entries, endpoints.lastFailure(), steadyNow(), age, refused);
     publishEndpoints(source);
 }
@@ -174,10 +175,10 @@
     node.m_view.setEndpoints(std::move(list));
 }
 
-asio::awaitable<void> EntryNode::ControlSide::lookAfter()
+asio::awaitable<void> EntryNode::ControlSide::runPeriodicChecks()
 {
     while (true) {
-        co_await sleepFor(context, controlStep);
+        co_await sleepFor(context, controlPeriod);
         flushLog();
         node.m_controlState.holdsDuties = duties.holds();
         node.m_controlState.leftDutiesFence = duties.leftFence();
@@ -190,22 +191,22 @@
 asio::awaitable<void> EntryNode::ControlSide::followConfiguration()
 {
     while (true) {
-        co_await sleepFor(context, controlStep);
+        co_await sleepFor(context, controlPeriod);
         co_await fetchConfiguration();
     }
 }
 
 asio::awaitable<void> EntryNode::ControlSide::followEndpoints()
 {
-    auto pause = shortestFetchPause;
+    auto pause = minimumFetchBackoff;
     while (true) {
-        co_await sleepFor(context, controlStep);
+        co_await sleepFor(context, controlPeriod);
         if (co_await fetchEndpoints()) {
-            pause = shortestFetchPause;
+            pause = minimumFetchBackoff;
             continue;
         }
         co_await sleepFor(context, Milliseconds(std::uniform_int_distribution<std::int64_t>(pause.count() / 2, pause.count())(random)));
-        pause = std::min(pause * 2, longestFetchPause);
+        pause = std::min(pause * 2, maximumFetchBackoff);
     }
 }
 
@@ -215,30 +216,30 @@
     auto current = node.m_view.configuration();
     if (summary->peerConfigurationVersion <= (current ? current->version() : 0))
         co_return;
-    auto document = co_await askedPages.configuration(summary->peerConfigurationAddress);
+    auto document = co_await pageClient.configuration(summary->peerConfigurationAddress);
     if (!document.is_null())
-        takeConfiguration(document, peerSource);
+        applyConfiguration(document, peerSource);
 }
 
-bool EntryNode::ControlSide::awaitsOwnList() const
+bool EntryNode::ControlSide::isAwaitingStoreList() const
 {
-    return history.isEmpty() && endpoints.lastFailure() == SteadyTime {} && steadyNow() - startedAt < ownListFirst;
+    return history.isEmpty() && endpoints.lastFailure() == SteadyTime {} && steadyNow() - startedAt < storeListWait;
 }
 
 asio::awaitable<bool> EntryNode::ControlSide::fetchEndpoints()
 {
     auto summary = node.m_summary.get();
-    if (endpoints.connected() || summary->peerEndpointsRevision <= history.revision() || awaitsOwnList())
+    if (endpoints.connected() || summary->peerEndpointsRevision <= history.revision() || isAwaitingStoreList())
         co_return true;
     auto since = history.revisionToAsk();
-    auto page = co_await askedPages.endpointsSince(summary->peerEndpointsAddress, since);
+    auto page = co_await pageClient.endpointsSince(summary->peerEndpointsAddress, since);
     if (page.is_null())
         co_return false;
     auto applied = history.apply(page);
     if (!applied)
         logEvent(LogLevel::Warning, "peer_page_refused", { { "peer", summary->peerEndpointsAddress.text() }, { "error", applied.error().message } });
     else if (applied.value())
-        takeEndpoints(peerSource);
+        applyEndpoints(peerSource);
     co_return applied.has_value();
 }
 
@@ -252,7 +253,7 @@
     };
 }
 
-asio::awaitable<void> EntryNode::ControlSide::findNodes()
+asio::awaitable<void> EntryNode::ControlSide::discoverNodes()
 {
     auto value = nodeEntry();
     bool registered = false;
@@ -261,7 +262,7 @@
             registered = co_await registerNode(value);
         if (registered && node.m_summary.get()->alivePeers == 0)
             co_await readNodes();
-        co_await sleepFor(context, aloneAfter);
+        co_await sleepFor(context, nodeDiscoveryPeriod);
     }
 }
 
@@ -270,17 +271,17 @@
     auto nodes = co_await listAll(context, *store, StoreKind::Nodes);
     if (!nodes)
         co_return false;
-    auto others = contactsOf(nodes.value());
-    asio::post(node.m_requests->context, [this, others] { node.m_requests->meetNodes(others); });
+    auto others = parseContacts(nodes.value());
+    asio::post(node.m_requests->context, [this, others] { node.m_requests->addListedNodes(others); });
     const auto& objects = nodes.value().objects;
-    auto own = std::find_if(objects.begin(), objects.end(), [this](const auto& it) { return it.name == node.m_options.node; });
-    if (own == objects.end()) {
+    auto ownEntry = std::find_if(objects.begin(), objects.end(), [this](const auto& it) { return it.name == node.m_options.node; });
+    if (ownEntry == objects.end()) {
         auto created = co_await store->create(StoreKind::Nodes, node.m_options.node, value);
         co_return created || created.error().code == ErrorCode::Conflict;
     }
-    if (own->value.is_object() && own->value.value("gossip", nlohmann::json()) == value["gossip"])
+    if (ownEntry->value.is_object() && ownEntry->value.value("gossip", nlohmann::json()) == value["gossip"])
         co_return true;
-    auto replaced = co_await store->replace(StoreKind::Nodes, node.m_options.node, own->revision, value);
+    auto replaced = co_await store->replace(StoreKind::Nodes, node.m_options.node, ownEntry->revision, value);
     co_return bool(replaced);
 }
 
@@ -289,11 +290,11 @@
     auto nodes = co_await listAll(context, *store, StoreKind::Nodes);
     if (!nodes)
         co_return;
-    auto others = contactsOf(nodes.value());
-    asio::post(node.m_requests->context, [this, others] { node.m_requests->meetNodes(others); });
+    auto others = parseContacts(nodes.value());
+    asio::post(node.m_requests->context, [this, others] { node.m_requests->addListedNodes(others); });
 }
 
-Result<PeerContact> EntryNode::ControlSide::contactOf(const StoreObject& object)
+Result<PeerContact> EntryNode::ControlSide::parseContact(const StoreObject& object)
 {
     try {
         BOOST_OUTCOME_TRY(address, parseAddress(object.value.value("gossip", std::string())));
@@ -303,13 +304,13 @@
     }
 }
 
-std::vector<PeerContact> EntryNode::ControlSide::contactsOf(const StoreObjects& nodes) const
+std::vector<PeerContact> EntryNode::ControlSide::parseContacts(const StoreObjects& nodes) const
 {
     std::vector<PeerContact> contacts;
     for (const auto& it : nodes.objects) {
         if (it.name == node.m_options.node)
             continue;
-        auto contact = contactOf(it);
+        auto contact = parseContact(it);
         if (contact)
             contacts.push_back(contact.value());
         else
--- a/modules/entry/entry_control.h
+++ b/modules/entry/entry_control.h
@@ -1,4 +1,5 @@
-// The control thread's side of an entry node: what it reads from the store or from other nodes, and its duties.
+// The control thread of an entry node: reads the configuration and the list of endpoints from the store or from other nodes, publishes them
+// to the request thread, and runs the singleton duties and rollouts.
 #pragma once
 
 #include "core/log.h"
@@ -13,65 +14,72 @@
 
 namespace detail {
 
-    constexpr unsigned refusedLinesPerSecond = 10; // For entries that cannot be read; the counter tells how many there are.
+    constexpr unsigned refusedLinesPerSecond = 10; // Log lines for endpoint entries that cannot be decoded; a metric counts all of them.
 
 } // namespace detail
 
-// Everything on the thread that follows the store and does the duties.
+// State and tasks of the control thread.
 struct EntryNode::ControlSide {
     ControlSide(EntryNode& entryNode);
+    // Functions that the rollout keeper calls on this node.
     RolloutKeeper::Ports rolloutPorts();
 
-    // The lease tells which life of this node wrote it.
+    // Duty options in which the lease names the incarnation of this node (its start time).
     static DutyOptions dutyOptions(const EntryNode& entryNode);
     Status start();
+    // Answers requests to the control address: metrics for monitoring, configuration and endpoints for other nodes.
     HttpResponse answerPage(const HttpHead& head);
-    // To the request thread.
-    void giveBlocked(std::vector<KeptRequest> kept);
+    // Passes blocked requests that were read from the store to the request thread.
+    void passBlockedRequests(std::vector<KeptRequest> kept);
     void onConfigurations(const std::map<std::string, StoreObject>& objects);
-    void takeConfiguration(const nlohmann::json& document, std::string_view source);
+    void applyConfiguration(const nlohmann::json& document, std::string_view source);
     void onEndpoints(const std::map<std::string, StoreObject>& objects);
 
-    // What an entry says, as of its hash; empty where it cannot be read.
-    struct ReadEntry {
+    // Decoded content of the entry with this hash; no endpoint if the entry cannot be decoded.
+    struct DecodedEntry {
         std::uint64_t hash { 0 };
         std::optional<ListedEndpoint> endpoint {};
     };
 
-    // Only entries that have changed are decoded: all 3,000 of a list take milliseconds of a core, at each change of one.
-    const std::optional<ListedEndpoint>& readEntry(const std::string& id, const EndpointHistory::Entry& entry);
-    void noteRefused(const std::string& id, const Error& error);
-    void takeEndpoints(std::string_view source);
+    // Decodes an entry only if it has changed: decoding a list of 3,000 entries at each change of one would take milliseconds of a core.
+    const std::optional<ListedEndpoint>& decodeEntry(const std::string& id, const EndpointHistory::Entry& entry);
+    void reportRefusedEntry(const std::string& id, const Error& error);
+    // Decodes the current entries, updates the registry and publishes the list. `source` is for the log.
+    void applyEndpoints(std::string_view source);
+    // Gives the registry's list to the request thread and logs what has changed.
     void publishEndpoints(std::string_view source);
-    asio::awaitable<void> lookAfter();
+    // Every 100 ms: flushes the log, publishes the control state and removes endpoints whose entries have expired.
+    asio::awaitable<void> runPeriodicChecks();
 
-    // On a path of its own: a configuration, which must be in force within seconds, does not wait for pages of endpoints.
+    // Fetch newer configurations and endpoints from peers. Two separate tasks, so that a configuration, which must be in force within
+    // seconds, does not wait for the transfer of endpoints.
     asio::awaitable<void> followConfiguration();
     asio::awaitable<void> followEndpoints();
 
-    // A peer has a newer configuration than the store has told us.
+    // Fetches the configuration from a peer that has a newer one than this node.
     asio::awaitable<void> fetchConfiguration();
 
-    // The store's list is on its way to this node, which has just started: asking a peer for all of it too would double what a start of
-    // the whole fleet moves.
-    bool awaitsOwnList() const;
+    // Whether this node has just started and still expects its first list of endpoints from the store. Fetching the complete list from a
+    // peer as well would double the traffic when the whole fleet starts.
+    bool isAwaitingStoreList() const;
 
-    // Where this node does not follow the store, or the store turns it away, peers that do follow it tell the endpoints. False where a page
-    // was wanted and did not come.
+    // Fetches newer endpoints from a peer while this node has no connection to the store's watch. Returns false if a page was requested and
+    // did not arrive or could not be applied.
     asio::awaitable<bool> fetchEndpoints();
 
-    // Tells the store where this node is, and asks it for others as long as none has spoken.
+    // This node's entry in the store: where and how other nodes reach it.
     nlohmann::json nodeEntry() const;
 
-    asio::awaitable<void> findNodes();
+    // Registers this node in the store, and then reads the other nodes from it as long as no peer is alive.
+    asio::awaitable<void> discoverNodes();
 
-    // One list tells what this node's own entry says and how many others there are.
+    // Writes this node's entry if the store has none or another address. One list call returns both that entry and the other nodes.
     asio::awaitable<bool> registerNode(const nlohmann::json& value);
     asio::awaitable<void> readNodes();
-    static Result<PeerContact> contactOf(const StoreObject& object);
+    static Result<PeerContact> parseContact(const StoreObject& object);
 
-    // The nodes of the store's list, without this one.
-    std::vector<PeerContact> contactsOf(const StoreObjects& nodes) const;
+    // Contacts of the listed nodes, without this node; entries that cannot be parsed are logged and left out.
+    std::vector<PeerContact> parseContacts(const StoreObjects& nodes) const;
 
     EntryNode& node;
     asio::io_context context { 1 };
@@ -82,13 +90,13 @@
     StoreFollower endpoints;
     DutyRunner duties;
     RolloutKeeper rollouts;
-    BlockedRequests blocked;
-    AsyncHttpServer pages;
-    PeerPageServer givenPages {};
-    PeerPageClient askedPages { context };
-    EndpointHistory history {}; // For nodes that do not follow the store.
-    std::map<std::string, ReadEntry> readEntries {};
-    LogBudget refusedLines { detail::refusedLinesPerSecond };
+    BlockedRequests blockedRequests;
+    AsyncHttpServer controlServer;
+    PeerPageServer pageServer {};
+    PeerPageClient pageClient { context };
+    EndpointHistory history {}; // Serves changes of endpoints to nodes that do not follow the store.
+    std::map<std::string, DecodedEntry> decodedEntries {};
+    LogBudget refusedEntryLogBudget { detail::refusedLinesPerSecond };
     SteadyTime startedAt { steadyNow() };
     std::minstd_rand random { std::random_device {}() };
 };
--- a/modules/entry/entry_limits.cpp
+++ b/modules/entry/entry_limits.cpp
@@ -11,176 +11,176 @@
     , m_exchange(exchange)
     , m_relay(relay)
     , m_options(options)
-    , m_lastAsk(options.lifetime << 20U)
+    , m_lastRequestNumber(options.lifetime << 20U)
 {
-    forward.askCredit = [this](EndpointLife life) { return take(std::move(life)); };
-    forward.returnCredit = [this](const EndpointLife& life) { giveBack(life); };
-    forward.tellLimits = [this] { tellSoon(); };
+    forward.askCredit = [this](EndpointLife incarnation) { return acquireCredit(std::move(incarnation)); };
+    forward.returnCredit = [this](const EndpointLife& incarnation) { releaseCredit(incarnation); };
+    forward.tellLimits = [this] { scheduleUpdate(); };
 }
 
-void EntryLimits::tick(bool usesRelays, double speakingPart, SteadyTime now)
+void EntryLimits::tick(bool usesRelays, double aliveShare, SteadyTime now)
 {
     m_usesRelays = usesRelays;
     limits().setGivesCredits(!usesRelays || m_relay.isRelay(now));
-    limits().setSpeakingPart(speakingPart);
-    limits().setNewsTime(usesRelays ? m_options.newsTimeOfRelays : m_options.newsTime);
-    auto isUsed = [this](const EndpointLife& life) { return m_forward.endpoints.isExpectedToLive(life); };
+    limits().setSpeakingPart(aliveShare);
+    limits().setNewsTime(usesRelays ? m_options.relayUpdateTime : m_options.directUpdateTime);
+    auto isUsed = [this](const EndpointLife& incarnation) { return m_forward.endpoints.isExpectedToLive(incarnation); };
     limits().forgetOld(m_forward.trueMilliseconds(), isUsed, now);
     m_forward.metrics.set("onyxnotch_entry_limited_endpoints", static_cast<double>(limits().limited()));
     ++m_ticks;
     if (!limits().isEmpty())
-        tell(!usesRelays || m_ticks % m_options.wordsEvery == 0);
+        sendUpdate(!usesRelays || m_ticks % m_options.limitUpdatePeriods == 0);
 }
 
-void EntryLimits::greet(const Address& address)
+void EntryLimits::sendInitialUpdate(const Address& address)
 {
     if (!limits().isEmpty())
-        m_exchange.sendTo({ address }, MessageType::LimitNews, news(true, !m_usesRelays, steadyNow()));
+        m_exchange.sendTo({ address }, MessageType::LimitNews, buildUpdate(true, !m_usesRelays, steadyNow()));
 }
 
-void EntryLimits::tellSoon(bool words)
+void EntryLimits::scheduleUpdate(bool includeLimits)
 {
-    m_tellsWords = m_tellsWords || words;
-    if (m_isTelling)
+    m_nextUpdateHasLimits = m_nextUpdateHasLimits || includeLimits;
+    if (m_isUpdateScheduled)
         return;
-    auto wait = std::chrono::ceil<Milliseconds>(m_toldAt + m_options.apart - steadyNow());
+    auto wait = std::chrono::ceil<Milliseconds>(m_lastUpdateAt + m_options.minimumUpdateInterval - steadyNow());
     if (wait.count() <= 0) {
-        tell(std::exchange(m_tellsWords, false));
+        sendUpdate(std::exchange(m_nextUpdateHasLimits, false));
         return;
     }
-    m_isTelling = true;
+    m_isUpdateScheduled = true;
     asio::co_spawn(
         m_context, [this, wait]() -> asio::awaitable<void> {
             co_await sleepFor(m_context, wait);
-            m_isTelling = false;
-            tell(std::exchange(m_tellsWords, false));
+            m_isUpdateScheduled = false;
+            sendUpdate(std::exchange(m_nextUpdateHasLimits, false));
         },
         asio::detached);
 }
 
-LimitNews EntryLimits::news(bool words, bool uses, SteadyTime now)
+LimitNews EntryLimits::buildUpdate(bool includeLimits, bool includeUses, SteadyTime now)
 {
-    LimitNews news { .node = m_options.node, .lifetime = m_options.lifetime };
-    if (words)
-        news.words = limits().takeWordsTold();
-    if (uses)
-        news.uses = limits().takeUsesTold(now);
-    return news;
+    LimitNews update { .node = m_options.node, .lifetime = m_options.lifetime };
+    if (includeLimits)
+        update.words = limits().takeWordsTold();
+    if (includeUses)
+        update.uses = limits().takeUsesTold(now);
+    return update;
 }
 
-void EntryLimits::tell(bool words)
+void EntryLimits::sendUpdate(bool includeLimits)
 {
     auto now = steadyNow();
-    m_toldAt = now;
+    m_lastUpdateAt = now;
     if (!m_usesRelays) {
-        m_exchange.sendTo(m_exchange.everyNode(), MessageType::LimitNews, news(words, true, now));
+        m_exchange.sendTo(m_exchange.everyNode(), MessageType::LimitNews, buildUpdate(includeLimits, true, now));
         return;
     }
     bool isRelay = m_relay.isRelay(now);
     if (isRelay)
-        m_exchange.sendTo(m_relay.otherRelays(now), MessageType::LimitNews, news(words, true, now));
-    else if (words)
-        m_exchange.sendTo(m_relay.rowReceivers(), MessageType::LimitNews, news(true, false, now));
-    if (isRelay && words)
-        m_exchange.sendTo(m_relay.members(now), MessageType::LimitNews, news(true, false, now));
+        m_exchange.sendTo(m_relay.otherRelays(now), MessageType::LimitNews, buildUpdate(includeLimits, true, now));
+    else if (includeLimits)
+        m_exchange.sendTo(m_relay.rowReceivers(), MessageType::LimitNews, buildUpdate(true, false, now));
+    if (isRelay && includeLimits)
+        m_exchange.sendTo(m_relay.members(now), MessageType::LimitNews, buildUpdate(true, false, now));
 }
 
-void EntryLimits::onNews(const LimitNews& news)
+void EntryLimits::onLimitUpdate(const LimitNews& update)
 {
-    bool changed = limits().onNews(news, m_forward.trueMilliseconds(), steadyNow());
+    bool changed = limits().onNews(update, m_forward.trueMilliseconds(), steadyNow());
     if (changed && m_usesRelays && m_relay.isRelay(steadyNow()))
-        tellSoon();
+        scheduleUpdate();
 }
 
-Milliseconds EntryLimits::denial(const EndpointLife& life, SteadyTime now)
+Milliseconds EntryLimits::denialTime(const EndpointLife& incarnation, SteadyTime now)
 {
-    constexpr double leastSpread = 0.5;
-    constexpr double mostSpread = 1.5;
-    constexpr double leastPerSecond = 0.1;
-    auto between = std::chrono::duration<double>(1 / std::max(leastPerSecond, limits().perSecond(life).value_or(unlimitedPerSecond)));
-    auto spread = std::chrono::ceil<Milliseconds>(between * std::uniform_real_distribution<double>(leastSpread, mostSpread)(m_forward.random));
-    auto next = std::chrono::ceil<Milliseconds>(limits().nextCredit(life, now) - now);
-    return std::clamp(std::max(spread, next), m_options.leastDenial, m_options.longestDenial);
+    constexpr double minimumSpread = 0.5;
+    constexpr double maximumSpread = 1.5;
+    constexpr double minimumPerSecond = 0.1;
+    auto creditInterval = std::chrono::duration<double>(1 / std::max(minimumPerSecond, limits().perSecond(incarnation).value_or(unlimitedPerSecond)));
+    auto randomizedInterval = std::chrono::ceil<Milliseconds>(creditInterval * std::uniform_real_distribution<double>(minimumSpread, maximumSpread)(m_forward.random));
+    auto untilNextCredit = std::chrono::ceil<Milliseconds>(limits().nextCredit(incarnation, now) - now);
+    return std::clamp(std::max(randomizedInterval, untilNextCredit), m_options.minimumDenialTime, m_options.maximumDenialTime);
 }
 
-void EntryLimits::onAsk(const CreditAsk& ask, const Address& from)
+void EntryLimits::onCreditRequest(const CreditAsk& creditRequest, const Address& from)
 {
     auto now = steadyNow();
-    if (limits().hear(ask.word, now))
-        tellSoon();
-    const auto& life = ask.word.endpoint;
-    CreditAnswer answer { .number = ask.number, .endpoint = life, .isGiven = limits().take(life, ask.asks, now) };
+    if (limits().hear(creditRequest.word, now))
+        scheduleUpdate();
+    const auto& incarnation = creditRequest.word.endpoint;
+    CreditAnswer answer { .number = creditRequest.number, .endpoint = incarnation, .isGiven = limits().take(incarnation, creditRequest.asks, now) };
     if (answer.isGiven)
-        tellSoon(false);
+        scheduleUpdate(false);
     else
-        answer.askAgainMilliseconds = static_cast<std::uint32_t>(denial(life, now).count());
+        answer.askAgainMilliseconds = static_cast<std::uint32_t>(denialTime(incarnation, now).count());
     m_exchange.sendTo({ from }, MessageType::CreditAnswer, answer);
 }
 
-void EntryLimits::onAnswer(const CreditAnswer& answer, const Address& from)
+void EntryLimits::onCreditAnswer(const CreditAnswer& answer, const Address& from)
 {
-    auto it = m_pending.find(answer.number);
-    if (it != m_pending.end()) {
+    auto it = m_pendingRequests.find(answer.number);
+    if (it != m_pendingRequests.end()) {
         it->second->answer = answer;
         it->second->timer.cancel();
         return;
     }
-    // Too late for the request that asked.
+    // The wait for this answer has timed out: return the unused credit.
     if (answer.isGiven)
         m_exchange.sendTo({ from }, MessageType::CreditReturn, CreditReturn { .endpoint = answer.endpoint });
 }
 
-void EntryLimits::onReturn(const CreditReturn& returned) { limits().giveBack(returned.endpoint, steadyNow()); }
+void EntryLimits::onCreditReturn(const CreditReturn& returned) { limits().giveBack(returned.endpoint, steadyNow()); }
 
-asio::awaitable<bool> EntryLimits::take(EndpointLife life)
+asio::awaitable<bool> EntryLimits::acquireCredit(EndpointLife incarnation)
 {
     if (limits().givesCredits()) {
-        bool isGiven = limits().take(life, 1, steadyNow());
+        bool isGiven = limits().take(incarnation, 1, steadyNow());
         if (isGiven)
-            tellSoon(false);
+            scheduleUpdate(false);
         co_return isGiven;
     }
-    bool isGiven = co_await takeFromRelay(life);
+    bool isGiven = co_await acquireFromRelay(incarnation);
     co_return isGiven;
 }
 
-asio::awaitable<bool> EntryLimits::takeFromRelay(EndpointLife life)
+asio::awaitable<bool> EntryLimits::acquireFromRelay(EndpointLife incarnation)
 {
     auto now = steadyNow();
-    ++m_untoldAsks[life];
+    ++m_unreportedRequests[incarnation];
     auto relays = m_relay.rowReceivers();
-    auto word = limits().word(life);
-    if (!word || relays.empty() || limits().creditAt(life, now) > now)
+    auto limit = limits().word(incarnation);
+    if (!limit || relays.empty() || limits().creditAt(incarnation, now) > now)
         co_return false;
-    CreditAsk ask { .number = ++m_lastAsk, .word = *word, .asks = m_untoldAsks[life] };
-    m_untoldAsks.erase(life);
-    auto pending = std::make_shared<Pending>(m_context);
-    m_pending[ask.number] = pending;
-    m_exchange.sendTo({ relays[m_mute % relays.size()] }, MessageType::CreditAsk, ask);
-    pending->timer.expires_after(m_options.answersWithin);
+    CreditAsk creditRequest { .number = ++m_lastRequestNumber, .word = *limit, .asks = m_unreportedRequests[incarnation] };
+    m_unreportedRequests.erase(incarnation);
+    auto pending = std::make_shared<PendingRequest>(m_context);
+    m_pendingRequests[creditRequest.number] = pending;
+    m_exchange.sendTo({ relays[m_unansweredCount % relays.size()] }, MessageType::CreditAsk, creditRequest);
+    pending->timer.expires_after(m_options.answerTimeout);
     asio::error_code ec;
     co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    m_pending.erase(ask.number);
+    m_pendingRequests.erase(creditRequest.number);
     if (!pending->answer) {
-        ++m_mute;
+        ++m_unansweredCount;
         m_forward.metrics.increment("onyxnotch_entry_credits_total", { { "result", "unanswered" } });
-        limits().noteDenied(life, steadyNow() + m_options.avoidedFor);
+        limits().noteDenied(incarnation, steadyNow() + m_options.unansweredBackoff);
         co_return false;
     }
     if (!pending->answer->isGiven)
-        limits().noteDenied(life, steadyNow() + std::min(m_options.longestDenial, Milliseconds(pending->answer->askAgainMilliseconds)));
+        limits().noteDenied(incarnation, steadyNow() + std::min(m_options.maximumDenialTime, Milliseconds(pending->answer->askAgainMilliseconds)));
     co_return pending->answer->isGiven;
 }
 
-void EntryLimits::giveBack(const EndpointLife& life)
+void EntryLimits::releaseCredit(const EndpointLife& incarnation)
 {
     if (limits().givesCredits()) {
-        limits().giveBack(life, steadyNow());
+        limits().giveBack(incarnation, steadyNow());
         return;
     }
     auto relays = m_relay.rowReceivers();
     if (!relays.empty())
-        m_exchange.sendTo({ relays[m_mute % relays.size()] }, MessageType::CreditReturn, CreditReturn { .endpoint = life });
+        m_exchange.sendTo({ relays[m_unansweredCount % relays.size()] }, MessageType::CreditReturn, CreditReturn { .endpoint = incarnation });
 }
 
 } // namespace Onyxnotch
--- a/modules/entry/entry_limits.h
+++ b/modules/entry/entry_limits.h
@@ -1,9 +1,10 @@
-// How the nodes share what limited endpoints take (EndpointLimits): who gives credits, and what is told when. Belongs to the request thread.
+// Shares the request rate limits that endpoints advertise among the nodes of the fleet: a request to a limited endpoint needs a credit
+// (EndpointLimits). Sends and receives limit updates, credit requests, their answers and returned credits. Runs on the request thread.
 //
-// Up to the size at which each node tells every other one, each gives credits itself. In a larger fleet the relays do, for the nodes of their
-// zones: an endpoint that takes one request a second leaves 300 nodes nothing to share out by news that are a quarter of a second old, and
-// few nodes that hear of each other within moments can. A node asks the first of its relays, with one datagram, and only for an endpoint that
-// named a limit.
+// In a fleet small enough for every node to send to every other one, each node grants credits to its own requests. In a larger fleet only
+// the relay nodes grant credits, to the nodes of their availability zone: 300 nodes cannot share a limit of one request per second on the
+// basis of updates that are 250 ms old, but a few relay nodes that update each other within milliseconds can. A node requests a credit from
+// one relay node of its zone, with one datagram, and only for an endpoint that advertised a limit.
 #pragma once
 
 #include "core/steady_timer.h"
@@ -17,36 +18,41 @@
 struct EntryLimitsOptions {
     std::string node {};
     std::uint64_t lifetime { 0 };
-    Milliseconds newsTime { 100 }; // Within which nodes that tell each other know what one has given,
-    Milliseconds newsTimeOfRelays { 200 }; // and relays, which may be in other regions.
-    Milliseconds apart { 20 }; // News that are told at once: what is given or heard meanwhile goes with the next.
-    Milliseconds answersWithin { 60 }; // A relay of the own zone, even if it is busy.
-    Milliseconds avoidedFor { 250 }; // An endpoint for which no relay answered.
-    Milliseconds leastDenial { 20 };
-    Milliseconds longestDenial { 2000 }; // Then a relay is asked again, however seldom there is a credit.
-    unsigned wordsEvery { 4 }; // Gossip periods, in a fleet with relays: all nodes are told what changes at once.
+    Milliseconds directUpdateTime { 100 }; // Time until granted credits are known to the nodes that send to each other directly,
+    Milliseconds relayUpdateTime { 200 }; // and to relay nodes, which may be in other regions.
+    Milliseconds minimumUpdateInterval { 20 }; // Minimum time between two updates; changes in between go out with the next one.
+    Milliseconds answerTimeout { 60 }; // Long enough for a busy relay node of the same zone.
+    // No requests to an endpoint for this long after a relay node left a credit request for it unanswered.
+    Milliseconds unansweredBackoff { 250 };
+    Milliseconds minimumDenialTime { 20 }; // Shortest wait after a denied credit before the next credit request for the endpoint,
+    Milliseconds maximumDenialTime { 2000 }; // and the longest one, however low the limit is.
+    unsigned limitUpdatePeriods { 4 }; // With relay nodes: gossip periods between repeated limit updates; changes are sent immediately.
 };
 
 class EntryLimits {
 public:
     EntryLimits(asio::io_context&, ForwardContext&, PeerExchange&, FleetRelay&, const EntryLimitsOptions&);
 
-    // Each gossip period. `speakingPart`: of the nodes that were there lately, those that speak.
-    void tick(bool usesRelays, double speakingPart, SteadyTime now);
-    // A node has started.
-    void greet(const Address&);
-    void tellSoon() { tellSoon(true); }
-    void onNews(const LimitNews&);
-    void onAsk(const CreditAsk&, const Address& from);
-    void onAnswer(const CreditAnswer&, const Address& from);
-    void onReturn(const CreditReturn&);
-    asio::awaitable<bool> take(EndpointLife);
-    void giveBack(const EndpointLife&);
+    // Called once per gossip period. `aliveShare`: number of nodes that currently send messages, divided by the number of nodes seen
+    // recently (0 to 1).
+    void tick(bool usesRelays, double aliveShare, SteadyTime now);
+    // Sends the known limits to a node that has just started.
+    void sendInitialUpdate(const Address&);
+    // Sends the known limits to the other nodes, at once or when the minimum time since the last update is over.
+    void scheduleUpdate() { scheduleUpdate(true); }
+    void onLimitUpdate(const LimitNews&);
+    void onCreditRequest(const CreditAsk&, const Address& from);
+    void onCreditAnswer(const CreditAnswer&, const Address& from);
+    void onCreditReturn(const CreditReturn&);
+    // Returns whether one request may be sent to the endpoint; asks a relay node if this node does not grant credits.
+    asio::awaitable<bool> acquireCredit(EndpointLife);
+    // Returns the credit of a request that was never sent.
+    void releaseCredit(const EndpointLife&);
 
 private:
-    // An ask that has not been answered.
-    struct Pending {
-        explicit Pending(asio::io_context& context)
+    // A credit request that was sent to a relay node and is not answered yet.
+    struct PendingRequest {
+        explicit PendingRequest(asio::io_context& context)
             : timer(context)
         {
         }
@@ -56,11 +62,14 @@
     };
 
     EndpointLimits& limits() { return m_forward.endpoints.limits(); }
-    void tellSoon(bool words);
-    void tell(bool words);
-    LimitNews news(bool words, bool uses, SteadyTime now);
-    asio::awaitable<bool> takeFromRelay(EndpointLife);
-    Milliseconds denial(const EndpointLife&, SteadyTime now);
+    void scheduleUpdate(bool includeLimits);
+    void sendUpdate(bool includeLimits);
+    // Builds an update with the limits known to this node, the credits that it granted, or both.
+    LimitNews buildUpdate(bool includeLimits, bool includeUses, SteadyTime now);
+    // Requests a credit from a relay node and waits for the answer; false if it is denied or not answered in time.
+    asio::awaitable<bool> acquireFromRelay(EndpointLife);
+    // How long a node whose credit request is denied has to wait before the next one; randomized, so that nodes do not retry together.
+    Milliseconds denialTime(const EndpointLife&, SteadyTime now);
 
     asio::io_context& m_context;
     ForwardContext& m_forward;
@@ -68,14 +77,16 @@
     FleetRelay& m_relay;
     EntryLimitsOptions m_options;
     bool m_usesRelays { false };
-    bool m_isTelling { false };
-    SteadyTime m_toldAt {};
-    bool m_tellsWords { false };
+    bool m_isUpdateScheduled { false };
+    SteadyTime m_lastUpdateAt {};
+    bool m_nextUpdateHasLimits { false };
     unsigned m_ticks { 0 };
-    std::uint64_t m_lastAsk;
-    std::size_t m_mute { 0 }; // Relays that did not answer so far: the next one is asked.
-    std::map<EndpointLife, std::uint32_t> m_untoldAsks {}; // Since the relay was last asked for that endpoint.
-    std::map<std::uint64_t, std::shared_ptr<Pending>> m_pending {};
+    std::uint64_t m_lastRequestNumber;
+    // Credit requests that were not answered, so far. Selects the relay node to ask, so that each failure moves on to the next one.
+    std::size_t m_unansweredCount { 0 };
+    // By endpoint: requests that needed a credit since the last credit request was sent.
+    std::map<EndpointLife, std::uint32_t> m_unreportedRequests {};
+    std::map<std::uint64_t, std::shared_ptr<PendingRequest>> m_pendingRequests {};
 };
 
 } // namespace Onyxnotch
--- a/modules/entry/entry_node.cpp
+++ b/modules/entry/entry_node.cpp
@@ -33,7 +33,7 @@
     started = m_control->start();
     if (!started)
         return started;
-    m_requests->controlAddress = m_control->pages.address();
+    m_requests->controlAddress = m_control->controlServer.address();
     m_requestThread = std::thread([this] { m_requests->context.run(); });
     m_controlThread = std::thread([this] { m_control->context.run(); });
     return success();
@@ -42,7 +42,7 @@
 void EntryNode::apply(const EntryOptions& options)
 {
     asio::post(m_requests->context, [this, options] {
-        // Read on the request thread alone.
+        // These options are read on the request thread only, so no lock is needed.
         m_options.grace = options.grace;
         m_requests->forward.retries.setOptions(options.retries);
         m_requests->forward.options.maximumCallers = options.forward.maximumCallers;
@@ -64,7 +64,7 @@
 
 Address EntryNode::readinessAddress() const { return m_requests->readiness.address(); }
 
-Address EntryNode::controlAddress() const { return m_control->pages.address(); }
+Address EntryNode::controlAddress() const { return m_control->controlServer.address(); }
 
 Address EntryNode::gossipAddress() const { return m_requests->exchange.address(); }
 
--- a/modules/entry/entry_node.h
+++ b/modules/entry/entry_node.h
@@ -1,4 +1,5 @@
-// One entry instance: requests on one thread, everything that is decided about them on another, immutable values between the two.
+// An entry node: forwards client requests on one thread, and follows the store and runs singleton duties on another, the control thread.
+// The control thread publishes immutable configurations and endpoint lists to the request thread.
 #pragma once
 
 #include "modules/control/endpoint_registry.h"
@@ -16,20 +17,21 @@
 struct EntryOptions {
     std::string node {};
     std::string zone {};
-    Address callers {}; // Where callers connect.
-    Address readiness {};
-    Address control {}; // Where peers ask for the configuration, and metrics are read.
-    Address gossip {};
-    std::vector<Address> seeds {}; // Gossip addresses.
-    std::uint32_t processorPercent { 0 }; // Of a core, that the process may use; 0 where nobody said.
+    Address callers {}; // Listening address for clients.
+    Address readiness {}; // Listening address for the load balancer's readiness probe.
+    Address control {}; // Listening address for metrics, and for peers that fetch the configuration and endpoints.
+    Address gossip {}; // Listening address (UDP) for messages of other nodes.
+    std::vector<Address> seeds {}; // Gossip addresses of other nodes to contact at the start.
+    std::uint32_t processorPercent { 0 }; // Share of one core that the process may use; 0 if unknown.
     Milliseconds gossipPeriod { 250 };
     WatchChoiceOptions watching {};
-    // A large fleet's nodes hear of each other by relays of their zones; switched off, each node tells as many others as it can.
+    // Nodes of a large fleet exchange their state through relay nodes in their zones. If false, each node sends directly to as many others
+    // as the fan-out allows.
     bool relays { true };
-    Milliseconds grace { 8000 }; // From the stop signal to the kill.
-    // Callers are still sent here until the balancer has asked twice and noticed.
-    Milliseconds noticedAfter { 2500 };
-    Milliseconds graceMargin { 500 }; // Before the kill, what remains is cut by ourselves.
+    Milliseconds grace { 8000 }; // Time from the stop signal until the process is killed.
+    // A draining node accepts connections for this long: until the load balancer has probed readiness twice and stopped sending clients.
+    Milliseconds drainNoticeTime { 2500 };
+    Milliseconds graceMargin { 500 }; // This long before the kill, the node cuts the remaining connections itself.
     ForwardOptions forward {};
     SharedRetryBudgetOptions retries {};
     StoreFollowerOptions follower {};
@@ -38,7 +40,7 @@
     RolloutKeeperOptions rollouts {};
 };
 
-// What the platform's adapter gives: the ports, and how their contents are read.
+// Functions of the platform adapter: they create the connections to store and cloud, and decode and encode stored objects.
 struct EntryPorts {
     std::function<std::unique_ptr<ObjectStore>(asio::io_context&)> makeStore {};
     std::function<std::unique_ptr<CloudOrders>(asio::io_context&)> makeCloud {};
@@ -56,11 +58,12 @@
     EntryNode& operator=(const EntryNode&) = delete;
 
     Status start();
-    // Takes over those settings that may change while the process runs: grace, retries, callers' connections and bodies. From any thread.
+    // Applies the settings that may change at run time: grace time, retry budget, maximum client connections and bytes of bodies in memory.
+    // Thread-safe.
     void apply(const EntryOptions&);
-    // Starts a drain; from any thread.
+    // Starts the drain of this node. Thread-safe.
     void stop();
-    // Returns when the drain has ended.
+    // Blocks until the drain has ended.
     void wait();
     Address callersAddress() const;
     Address readinessAddress() const;
@@ -68,7 +71,7 @@
     Address gossipAddress() const;
 
 private:
-    // What the control thread tells the request thread, for the node's row.
+    // State that the control thread publishes to the request thread, which sends it to peers in the node's row.
     struct ControlState {
         std::atomic<bool> holdsDuties { false };
         std::atomic<std::uint64_t> leftDutiesFence { 0 };
--- a/modules/entry/entry_requests.cpp
+++ b/modules/entry/entry_requests.cpp
@@ -6,11 +6,11 @@
 
 namespace Onyxnotch {
 
-EntryNode::RequestSide::RequestSide(const EntryOptions& entryOptions, TrafficView& trafficView, NodeSummarySlot& summarySlot, Metrics& metrics, ControlState& stateOfControl, VersionShareSlot& sharesSlot)
+EntryNode::RequestSide::RequestSide(const EntryOptions& entryOptions, TrafficView& trafficView, NodeSummarySlot& summarySlot, Metrics& metrics, ControlState& controlState, VersionShareSlot& sharesSlot)
     : options(entryOptions)
     , view(trafficView)
     , summary(summarySlot)
-    , control(stateOfControl)
+    , control(controlState)
     , versionShares(sharesSlot)
     , forward(context, trafficView, metrics, entryOptions.forward, entryOptions.retries)
     , server(forward, entryOptions.callers)
@@ -18,20 +18,20 @@
     , relay(peers, { .node = entryOptions.node, .zone = entryOptions.zone, .everyNodeUpTo = entryOptions.watching.everyNodeUpTo, .period = entryOptions.gossipPeriod }, steadyNow())
     , exchange(
           context, peers, relay, { .listen = entryOptions.gossip, .seeds = entryOptions.seeds, .zone = entryOptions.zone },
-          { .row = [this](const PeerRow& row, bool newLife) { onRow(row, newLife); },
+          { .row = [this](const PeerRow& row, bool isNewIncarnation) { onRow(row, isNewIncarnation); },
               .prefill = [this](const PrefillNotice& notice) { forward.endpoints.notePeersPrefill(notice.endpoint, notice.tokens, steadyNow()); },
-              .suspects = [this](const SuspectNews& news) { hearSuspects(news); },
-              .limits = [this](const LimitNews& news) { limits.onNews(news); },
-              .creditAsk = [this](const CreditAsk& ask, const Address& from) { limits.onAsk(ask, from); },
-              .creditAnswer = [this](const CreditAnswer& answer, const Address& from) { limits.onAnswer(answer, from); },
-              .creditReturn = [this](const CreditReturn& returned) { limits.onReturn(returned); } })
+              .suspects = [this](const SuspectNews& update) { onSuspectUpdate(update); },
+              .limits = [this](const LimitNews& update) { limits.onLimitUpdate(update); },
+              .creditAsk = [this](const CreditAsk& creditRequest, const Address& from) { limits.onCreditRequest(creditRequest, from); },
+              .creditAnswer = [this](const CreditAnswer& answer, const Address& from) { limits.onCreditAnswer(answer, from); },
+              .creditReturn = [this](const CreditReturn& returned) { limits.onCreditReturn(returned); } })
     , readiness(context, entryOptions.readiness, [this](const HttpHead&) { return answerReadiness(); })
     , lifetime(wallMilliseconds())
     , limits(context, forward, exchange, relay, { .node = entryOptions.node, .lifetime = lifetime })
     , ownClockDifference(static_cast<std::int64_t>(lifetime) - steadyMilliseconds())
 {
     forward.clockDifference = ownClockDifference;
-    forward.tellSuspects = [this] { tellSuspectsSoon(); };
+    forward.tellSuspects = [this] { scheduleSuspectUpdate(); };
     forward.tellLongPrefill = [this](const EndpointLife& endpoint, double tokens) { exchange.send(PrefillNotice { .endpoint = endpoint, .tokens = tokens }); };
 }
 
@@ -48,16 +48,16 @@
     return success();
 }
 
-void EntryNode::RequestSide::onRow(const PeerRow& row, bool newLife)
+void EntryNode::RequestSide::onRow(const PeerRow& row, bool isNewIncarnation)
 {
     forward.teams.onPeer(row.node, row.lifetime, Milliseconds(row.ageMilliseconds), row.teamTotals, steadyNow());
-    // It may not have heard this node either, and until then counts on less of the teams' limits.
-    if (newLife)
+    // The started node may not have received this node's state yet, and uses a smaller share of the team limits until it has.
+    if (isNewIncarnation)
         forward.endpoints.tellMarksAgain(steadyNow());
-    if (newLife && !usesRelays())
+    if (isNewIncarnation && !usesRelays())
         exchange.sendTo(row.gossipAddress, ownRow());
-    if (newLife && (!usesRelays() || relay.isRelay(steadyNow())))
-        limits.greet(row.gossipAddress);
+    if (isNewIncarnation && (!usesRelays() || relay.isRelay(steadyNow())))
+        limits.sendInitialUpdate(row.gossipAddress);
     for (const auto& it : row.leavingEndpoints)
         forward.endpoints.markLeaving(it, steadyNow());
     forward.suspects.onNews(row.suspects, steadyNow());
@@ -81,40 +81,40 @@
         forward.takeEndpoints(view.endpoints(), *configuration, now);
     forward.endpoints.setReadsStore(control.watchesStore);
     peers.forgetOld(now);
-    expectNodes();
+    updateExpectedNodes();
     forward.demand.tick(seconds);
-    noteSuspension();
-    noteBlocked();
+    detectSuspension();
+    reportBlockedRequests();
     forward.metrics.set("onyxnotch_entry_resting_endpoints", static_cast<double>(forward.endpoints.resting(now)));
     forward.metrics.set("onyxnotch_entry_held_bytes", static_cast<double>(forward.heldBodies.held()));
     if (auto leftOut = forward.answeredLines.takeLeftOut() + forward.failedLines.takeLeftOut())
         logEvent(LogLevel::Info, "request_lines_left_out", { { "count", leftOut } });
     ++ticks;
     if (usesRelays())
-        hearFleet(now);
+        exchangeThroughRelays(now);
     else
-        hearPeers(now);
-    if (ticks % usageEvery == usagePhase)
-        tellUsage();
+        exchangeDirectly(now);
+    if (ticks % usagePeriodTicks == usagePhase)
+        sendUsage();
 }
 
-void EntryNode::RequestSide::hearPeers(SteadyTime now)
+void EntryNode::RequestSide::exchangeDirectly(SteadyTime now)
 {
-    adaptToFleet();
+    adaptDirectTimeouts();
     auto alive = peers.alive(now);
     setNodes(static_cast<unsigned>(alive.size()) + 1);
     forward.clockDifference = peers.clockDifference(ownClockDifference, now);
     forward.endpoints.setPeerLoads(sumLoads(alive), now);
     exchange.send(ownRow());
-    limits.tick(false, speakingPart(alive, now), now);
+    limits.tick(false, aliveShare(alive, now), now);
     summary.set(std::make_shared<const NodeSummary>(summarize(alive, now)));
 }
 
-double EntryNode::RequestSide::speakingPart(const std::vector<const PeerRow*>& alive, SteadyTime now) const
+double EntryNode::RequestSide::aliveShare(const std::vector<const PeerRow*>& alive, SteadyTime now) const
 {
-    constexpr Milliseconds silentFor { 20000 }; // Then a node has gone.
+    constexpr Milliseconds removedAfter { 20000 }; // After this time without messages a node counts as removed.
     auto speaking = static_cast<double>(alive.size() + 1);
-    return speaking / (speaking + peers.silent(silentFor, now));
+    return speaking / (speaking + peers.silent(removedAfter, now));
 }
 
 void EntryNode::RequestSide::setNodes(unsigned nodes)
@@ -123,9 +123,9 @@
     forward.retries.setNodes(nodes);
 }
 
-void EntryNode::RequestSide::hearFleet(SteadyTime now)
+void EntryNode::RequestSide::exchangeThroughRelays(SteadyTime now)
 {
-    adaptToRelays();
+    adaptRelayTimeouts();
     auto row = ownRow();
     relay.setOwnRow(row, now);
     exchange.sendToRelays(row);
@@ -134,15 +134,15 @@
         if (relay.isFleetTellingDue(now))
             exchange.send(MessageType::FleetSum, relay.fleetTelling(now));
     }
-    auto heard = relay.others(now).value_or(FleetRelay::Others {});
-    const auto& others = heard.sum;
+    auto received = relay.others(now).value_or(FleetRelay::Others {});
+    const auto& others = received.sum;
     if (others.nodes > 0) {
         setNodes(others.nodes + 1);
-        forward.teams.onFleet(others.nodes, others.silentNodes, others.teamTotals, heard.heardAt);
-        forward.endpoints.setPeerLoads(namedLoads(others.loads), now);
+        forward.teams.onFleet(others.nodes, others.silentNodes, others.teamTotals, received.heardAt);
+        forward.endpoints.setPeerLoads(loadsByIncarnation(others.loads), now);
     }
     limits.tick(true, (others.nodes + 1.0) / (others.nodes + others.silentNodes + 1.0), now);
-    fleetHolders = others.dutyHolders;
+    fleetDutyHolders = others.dutyHolders;
     for (const auto& it : others.leavingEndpoints)
         forward.endpoints.markLeaving(it, steadyNow());
     forward.suspects.onNews(others.suspects, steadyNow());
@@ -150,63 +150,64 @@
     summary.set(std::make_shared<const NodeSummary>(summarize(others, now)));
 }
 
-void EntryNode::RequestSide::adaptToRelays()
+void EntryNode::RequestSide::adaptRelayTimeouts()
 {
-    constexpr int periodsOld = 2;
-    constexpr int periodsFresh = 4;
-    constexpr int periodsUntilHeard = 10;
-    constexpr int periodsUntilSilent = 6;
-    peers.setSilentAfter(options.gossipPeriod * periodsUntilSilent);
-    forward.endpoints.setPeersStaleFor(options.gossipPeriod * periodsOld);
-    forward.teams.setFreshFor(options.gossipPeriod * periodsFresh);
-    forward.teams.setCautiousFor(options.gossipPeriod * periodsUntilHeard);
+    constexpr int stalePeriods = 2;
+    constexpr int freshPeriods = 4;
+    constexpr int cautiousPeriods = 10;
+    constexpr int silentPeriods = 6;
+    peers.setSilentAfter(options.gossipPeriod * silentPeriods);
+    forward.endpoints.setPeersStaleFor(options.gossipPeriod * stalePeriods);
+    forward.teams.setFreshFor(options.gossipPeriod * freshPeriods);
+    forward.teams.setCautiousFor(options.gossipPeriod * cautiousPeriods);
 }
 
-std::map<EndpointLife, EndpointLoadReport> EntryNode::RequestSide::namedLoads(const std::map<ShortName, SummedLoad>& loads) const
+std::map<EndpointLife, EndpointLoadReport> EntryNode::RequestSide::loadsByIncarnation(const std::map<ShortName, SummedLoad>& loads) const
 {
-    std::map<EndpointLife, EndpointLoadReport> named;
+    std::map<EndpointLife, EndpointLoadReport> listedLoads;
     auto list = view.endpoints();
     if (!list)
-        return named;
+        return listedLoads;
     for (const auto& [id, endpoint] : list->endpoints) {
-        auto life = endpoint.life();
-        auto it = loads.find(shortNameOf(life));
+        auto incarnation = endpoint.life();
+        auto it = loads.find(shortNameOf(incarnation));
         if (it != loads.end())
-            named[life] = { .endpoint = life, .inFlight = static_cast<double>(it->second.inFlight), .waitingTokens = it->second.waitingUnits * SummedLoad::tokensPerUnit };
+            listedLoads[incarnation] = { .endpoint = incarnation, .inFlight = static_cast<double>(it->second.inFlight), .waitingTokens = it->second.waitingUnits * SummedLoad::tokensPerUnit };
     }
-    return named;
+    return listedLoads;
 }
 
-void EntryNode::RequestSide::meetNodes(const std::vector<PeerContact>& others)
+void EntryNode::RequestSide::addListedNodes(const std::vector<PeerContact>& others)
 {
     listedNodes = static_cast<unsigned>(others.size()) + 1;
     logEvent(LogLevel::Info, "nodes_expected", { { "nodes", listedNodes } });
     for (const auto& it : others)
         exchange.addContact(it);
-    expectNodes();
+    updateExpectedNodes();
     if (usesRelays())
-        hearFleet(steadyNow());
+        exchangeThroughRelays(steadyNow());
     else
         exchange.greetAll(ownRow());
 }
 
-void EntryNode::RequestSide::expectNodes()
+void EntryNode::RequestSide::updateExpectedNodes()
 {
-    auto named = static_cast<unsigned>(peers.contacts().size()) + 1;
-    if (listedNodes > 0 || named > forward.teams.expectedNodes())
-        forward.teams.setExpectedNodes(std::max(listedNodes, named));
+    auto namedNodes = static_cast<unsigned>(peers.contacts().size()) + 1;
+    if (listedNodes > 0 || namedNodes > forward.teams.expectedNodes())
+        forward.teams.setExpectedNodes(std::max(listedNodes, namedNodes));
 }
 
-void EntryNode::RequestSide::adaptToFleet()
+void EntryNode::RequestSide::adaptDirectTimeouts()
 {
-    constexpr double rowsUntilSilent = 6;
-    constexpr double rowsWhileFresh = 3;
-    constexpr double rowsUntilHeard = 8; // By then a node has heard all others but some three in ten thousand.
-    auto between = static_cast<double>(options.gossipPeriod.count()) / exchange.heardPart();
-    peers.setSilentAfter(Milliseconds(static_cast<std::int64_t>(between * rowsUntilSilent)));
-    forward.endpoints.setPeersStaleFor(Milliseconds(static_cast<std::int64_t>(between)));
-    forward.teams.setFreshFor(Milliseconds(static_cast<std::int64_t>(between * rowsWhileFresh)));
-    forward.teams.setCautiousFor(Milliseconds(static_cast<std::int64_t>(between * rowsUntilHeard)));
+    constexpr double silentRows = 6;
+    constexpr double freshRows = 3;
+    // After this number of rows a node has received a row of all other nodes but about three in ten thousand.
+    constexpr double cautiousRows = 8;
+    auto receiveInterval = static_cast<double>(options.gossipPeriod.count()) / exchange.heardPart();
+    peers.setSilentAfter(Milliseconds(static_cast<std::int64_t>(receiveInterval * silentRows)));
+    forward.endpoints.setPeersStaleFor(Milliseconds(static_cast<std::int64_t>(receiveInterval)));
+    forward.teams.setFreshFor(Milliseconds(static_cast<std::int64_t>(receiveInterval * freshRows)));
+    forward.teams.setCautiousFor(Milliseconds(static_cast<std::int64_t>(receiveInterval * cautiousRows)));
 }
 
 std::map<EndpointLife, EndpointLoadReport> EntryNode::RequestSide::sumLoads(const std::vector<const PeerRow*>& rows)
@@ -222,14 +223,14 @@
     return sums;
 }
 
-void EntryNode::RequestSide::tellUsage()
+void EntryNode::RequestSide::sendUsage()
 {
-    auto holders = usesRelays() ? fleetHolders : peers.dutyHolders();
+    auto holders = usesRelays() ? fleetDutyHolders : peers.dutyHolders();
     auto holder = holders.empty() ? std::string() : holders.front().node;
-    toldInFull = holder == usageHolder ? toldInFull + 1 : 0;
-    usageHolder = holder;
-    bool full = holder.empty() || toldInFull < fullTellings;
-    auto windows = full ? forward.usage.windows() : forward.usage.openSince(forward.trueMilliseconds() - usageToldAgainMilliseconds);
+    fullReportsSent = holder == lastUsageHolder ? fullReportsSent + 1 : 0;
+    lastUsageHolder = holder;
+    bool includeAllWindows = holder.empty() || fullReportsSent < fullUsageReports;
+    auto windows = includeAllWindows ? forward.usage.windows() : forward.usage.openSince(forward.trueMilliseconds() - usageResendMilliseconds);
     if (!windows.empty())
         exchange.send(UsageNotice { .node = options.node, .lifetime = lifetime, .windows = std::move(windows) }, holders);
 }
@@ -257,21 +258,21 @@
         .endpointsRevision = control.endpointsRevision,
         .teamTotals = forward.teams.ownTotals(),
         .loads = forward.endpoints.ownLoads(),
-        .leavingEndpoints = usesRelays() ? forward.endpoints.ownLeavingMarks(steadyNow(), marksInRow) : forward.endpoints.recentLeavingMarks(steadyNow()),
+        .leavingEndpoints = usesRelays() ? forward.endpoints.ownLeavingMarks(steadyNow(), maximumDrainingMarks) : forward.endpoints.recentLeavingMarks(steadyNow()),
         .demand = forward.demand.demand(),
-        .versions = ownVersions(),
+        .versions = ownVersionUpdate(),
         .suspects = forward.suspects.news(steadyNow()),
     };
 }
 
-VersionNews EntryNode::RequestSide::ownVersions() const
+VersionNews EntryNode::RequestSide::ownVersionUpdate() const
 {
     if (!options.rollouts.enabled)
         return {};
     return { .trials = forward.versions.ownTrials(), .shares = *versionShares.get(), .stopped = forward.versions.stopped() };
 }
 
-void EntryNode::RequestSide::hearVersions(VersionNews others)
+void EntryNode::RequestSide::applyVersionUpdate(VersionNews others)
 {
     if (!options.rollouts.enabled)
         return;
@@ -281,33 +282,34 @@
         logEvent(LogLevel::Warning, "version_stopped", { { "service", it.service }, { "version", it.version }, { "ordered_at", it.orderedAt } });
 }
 
-void EntryNode::RequestSide::noteSuspension()
+void EntryNode::RequestSide::detectSuspension()
 {
-    constexpr Milliseconds worthTelling { 50 }; // The two clocks are read one after the other, with other threads between.
+    // Below this, other threads that ran between the reads of the two clocks may be the cause.
+    constexpr Milliseconds minimumReported { 50 };
     auto now = InstanceClock::suspended();
-    auto grown = toMilliseconds(now - suspended);
+    auto suspendedFor = toMilliseconds(now - suspended);
     suspended = now;
-    if (grown < worthTelling)
+    if (suspendedFor < minimumReported)
         return;
-    forward.metrics.increment("onyxnotch_entry_suspended_seconds_total", {}, static_cast<double>(grown.count()) / 1000);
-    logEvent(LogLevel::Warning, "instance_suspended", { { "ms", grown.count() } });
+    forward.metrics.increment("onyxnotch_entry_suspended_seconds_total", {}, static_cast<double>(suspendedFor.count()) / 1000);
+    logEvent(LogLevel::Warning, "instance_suspended", { { "ms", suspendedFor.count() } });
 }
 
-void EntryNode::RequestSide::tellSuspectsSoon()
+void EntryNode::RequestSide::scheduleSuspectUpdate()
 {
-    if (tellsSuspects)
+    if (isSuspectUpdateScheduled)
         return;
-    tellsSuspects = true;
+    isSuspectUpdateScheduled = true;
     asio::co_spawn(
         context, [this]() -> asio::awaitable<void> {
-            co_await sleepFor(context, suspectsGathered);
-            tellsSuspects = false;
-            tellSuspects();
+            co_await sleepFor(context, suspectUpdateDelay);
+            isSuspectUpdateScheduled = false;
+            sendSuspectUpdate();
         },
         asio::detached);
 }
 
-void EntryNode::RequestSide::tellSuspects()
+void EntryNode::RequestSide::sendSuspectUpdate()
 {
     auto now = steadyNow();
     if (!usesRelays())
@@ -316,40 +318,40 @@
         exchange.sendToRelays(relay.isRelay(now) ? forward.suspects.relayedNews(now) : forward.suspects.news(now));
 }
 
-void EntryNode::RequestSide::hearSuspects(const SuspectNews& news)
+void EntryNode::RequestSide::onSuspectUpdate(const SuspectNews& update)
 {
     auto now = steadyNow();
-    forward.suspects.onNews(news, now);
+    forward.suspects.onNews(update, now);
     bool relays = forward.suspects.takeWorthRelaying() && usesRelays() && relay.isRelay(now);
     if (relays)
-        tellSuspectsSoon();
+        scheduleSuspectUpdate();
 }
 
-void EntryNode::RequestSide::noteBlocked()
+void EntryNode::RequestSide::reportBlockedRequests()
 {
     forward.metrics.set("onyxnotch_entry_blocked_requests", static_cast<double>(forward.suspects.blockedRequests()));
     for (const auto& it : forward.suspects.takeNewlyBlocked()) {
         logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", forward.suspects.endedLives(it.request) }, { "round", static_cast<unsigned>(it.round) } });
-        if (keepBlocked)
-            keepBlocked({ .request = it.request, .round = it.round, .blockedAt = forward.trueMilliseconds() });
+        if (saveBlockedRequest)
+            saveBlockedRequest({ .request = it.request, .round = it.round, .blockedAt = forward.trueMilliseconds() });
     }
     for (const auto& it : forward.suspects.takeNewlyCleared()) {
         logEvent(LogLevel::Info, "request_cleared", { { "digest", it.text() } });
-        if (dropBlocked)
-            dropBlocked(it);
+        if (deleteBlockedRequest)
+            deleteBlockedRequest(it);
     }
 }
 
-void EntryNode::RequestSide::restoreBlocked(const std::vector<KeptRequest>& kept)
+void EntryNode::RequestSide::restoreBlockedRequests(const std::vector<KeptRequest>& kept)
 {
-    SuspectNews news;
+    SuspectNews update;
     auto now = forward.trueMilliseconds();
     for (const auto& it : kept) {
         auto age = now > it.blockedAt ? (now - it.blockedAt) / 1000 : 0;
-        news.blocked.push_back({ .request = it.request, .round = it.round, .ageSeconds = static_cast<std::uint32_t>(age) });
+        update.blocked.push_back({ .request = it.request, .round = it.round, .ageSeconds = static_cast<std::uint32_t>(age) });
     }
-    forward.suspects.onNews(news, steadyNow());
-    logEvent(LogLevel::Info, "blocked_requests_read", { { "count", news.blocked.size() } });
+    forward.suspects.onNews(update, steadyNow());
+    logEvent(LogLevel::Info, "blocked_requests_read", { { "count", update.blocked.size() } });
 }
 
 SummaryOwner EntryNode::RequestSide::summaryOwner() const
@@ -362,24 +364,24 @@
     auto result = summarizePeers(alive, summaryOwner());
     result.watchesStore = shouldWatchStore(options.node, options.zone, alive, options.watching);
     result.watchPauseFactor = watchPauseFactor(options.node, options.zone, alive, options.watching);
-    addOwn(result, now);
+    addOwnState(result, now);
     return result;
 }
 
 NodeSummary EntryNode::RequestSide::summarize(const GroupSum& others, SteadyTime now)
 {
     auto result = summarizeGroup(others, summaryOwner());
-    result.watchesStore = watching.decide(others.watchers, std::max(others.nodes + 1, listedNodes), others.nodes > 0, now);
-    result.watchPauseFactor = watching.pauseFactor(others.nodes + 1);
-    result.usageSettles = usageSettlesInFleet;
-    result.candidatePatience = watching.pauseFactor(others.nodes + 1);
-    // Who comes first is not known before most of the fleet has been heard.
+    result.watchesStore = watchDecision.decide(others.watchers, std::max(others.nodes + 1, listedNodes), others.nodes > 0, now);
+    result.watchPauseFactor = watchDecision.pauseFactor(others.nodes + 1);
+    result.usageSettles = relayedUsageSettleTime;
+    result.candidatePatience = watchDecision.pauseFactor(others.nodes + 1);
+    // The first candidate is not known before messages of at least half of the fleet were received.
     result.firstCandidate = result.firstCandidate && 2 * (others.nodes + 1) >= listedNodes;
-    addOwn(result, now);
+    addOwnState(result, now);
     return result;
 }
 
-WindowCounts EntryNode::RequestSide::usageOfAll() const
+WindowCounts EntryNode::RequestSide::fleetUsage() const
 {
     auto sums = peers.usage();
     for (const auto& [window, counts] : forward.usage.windows()) {
@@ -389,16 +391,16 @@
     return sums;
 }
 
-void EntryNode::RequestSide::addOwn(NodeSummary& result, SteadyTime now)
+void EntryNode::RequestSide::addOwnState(NodeSummary& result, SteadyTime now)
 {
     result.trueMilliseconds = forward.trueMilliseconds();
     result.madeAt = now;
     result.unlistedLeaving = forward.endpoints.unlistedLeavingMarks();
-    hearVersions(result.versions);
+    applyVersionUpdate(result.versions);
     addTrials(result.versions.trials, forward.versions.ownTrials());
     result.versions.stopped = forward.versions.stopped();
     if (control.holdsDuties)
-        result.usage = usageOfAll();
+        result.usage = fleetUsage();
     for (const auto& [service, demand] : forward.demand.demand())
         result.demand[service] += demand;
 }
@@ -408,13 +410,14 @@
     auto began = steadyNow();
     forward.stopping = true;
     logEvent(LogLevel::Info, "stopping", { { "connections", server.connections() }, { "busy", server.busy() } });
-    auto noticed = began + options.noticedAfter;
+    auto noticedAt = began + options.drainNoticeTime;
     auto end = began + options.grace - options.graceMargin;
     while (steadyNow() < end) {
-        co_await sleepFor(context, detail::drainStep);
-        if (steadyNow() < noticed)
+        co_await sleepFor(context, detail::drainPollInterval);
+        if (steadyNow() < noticedAt)
             continue;
-        // A balancer that has too few others sends callers here all the same: they had better be refused than cut at the end.
+        // A load balancer with too few other nodes still sends clients here. Refusing them is better than cutting their requests at the
+        // end.
         server.stopListening();
         server.closeIdle();
         if (server.busy() == 0)
--- a/modules/entry/entry_requests.h
+++ b/modules/entry/entry_requests.h
@@ -1,4 +1,5 @@
-// The request thread's side of an entry node: what requests share, and what nodes tell each other.
+// The request thread of an entry node: serves client requests, exchanges state with the other nodes each gossip period, and publishes a
+// summary of that state to the control thread.
 #pragma once
 
 #include "core/net/async_http_server.h"
@@ -12,92 +13,103 @@
 
 namespace detail {
 
-    constexpr Milliseconds drainStep { 50 };
+    constexpr Milliseconds drainPollInterval { 50 };
 
 } // namespace detail
 
-// Everything on the thread that serves requests.
+// State and tasks of the request thread.
 struct EntryNode::RequestSide {
-    RequestSide(const EntryOptions& entryOptions, TrafficView& trafficView, NodeSummarySlot& summarySlot, Metrics& metrics, ControlState& stateOfControl, VersionShareSlot& sharesSlot);
-
-    // Usage is long, and wanted by one node: it is told once in so many rows, by each node in its turn, since a holder on a narrow link
-    // would lose what comes from all at once.
-    static constexpr std::uint32_t usageEvery = 4;
-    // Windows that ended longer ago have been told several times.
-    static constexpr std::uint64_t usageToldAgainMilliseconds = 3000;
-    static constexpr std::size_t marksInRow = 64; // As many as a relay tells on.
-    // What ran at an endpoint breaks within moments of its end: one notice for all of it.
-    static constexpr Milliseconds suspectsGathered { 20 };
-    static constexpr unsigned fullTellings = 3; // To a new holder, which may have heard of no earlier window.
-    // A window's last counts are told three times after its end, so that a lost datagram, or a node that is behind, costs none. The report
-    // is due some seconds later.
-    static constexpr Milliseconds usageSettlesInFleet { 4000 };
+    RequestSide(const EntryOptions& entryOptions, TrafficView& trafficView, NodeSummarySlot& summarySlot, Metrics& metrics, ControlState& controlState, VersionShareSlot& sharesSlot);
+
+    // Usage is sent once per this number of gossip periods, since the message is long and only the duty holder needs it. Each node has its
+    // own phase: a holder on a slow link would lose datagrams if all nodes sent at once.
+    static constexpr std::uint32_t usagePeriodTicks = 4;
+    // Usage windows that ended longer ago than this have been sent several times and are not sent again.
+    static constexpr std::uint64_t usageResendMilliseconds = 3000;
+    // Maximum number of draining endpoints in a row with relay nodes; a relay node forwards as many.
+    static constexpr std::size_t maximumDrainingMarks = 64;
+    // Requests at a crashed endpoint fail within milliseconds of each other; after this delay one message reports all of them.
+    static constexpr Milliseconds suspectUpdateDelay { 20 };
+    // Reports of all windows to a new duty holder, which may have received none of the earlier ones.
+    static constexpr unsigned fullUsageReports = 3;
+    // With relay nodes: time after the end of a usage window until its counts are final. The last counts of a window are sent three times
+    // after its end, so that a lost datagram or a late node loses none. The usage report is due some seconds later.
+    static constexpr Milliseconds relayedUsageSettleTime { 4000 };
 
     static std::int64_t steadyMilliseconds() { return std::chrono::duration_cast<Milliseconds>(steadyNow().time_since_epoch()).count(); }
 
     Status start();
 
-    // Ready as soon as requests can be answered.
+    // Whether requests can be forwarded: configuration and endpoints are known, and the node is not draining.
     bool isReady() const { return !forward.stopping && view.configuration() && view.endpoints(); }
 
     HttpResponse answerReadiness() const { return { .status = isReady() ? HttpStatus::ok : HttpStatus::serviceUnavailable }; }
 
-    void onRow(const PeerRow& row, bool newLife);
+    // Handles a peer's row. `isNewIncarnation`: it is the first one since the peer's last start.
+    void onRow(const PeerRow& row, bool isNewIncarnation);
     asio::awaitable<void> gossip();
+    // Once per gossip period; `seconds` have passed since the last call.
     void tick(SteadyTime now, double seconds);
 
     bool usesRelays() const { return options.relays && relay.isNeeded(listedNodes); }
 
-    // In a fleet in which every node tells every other one.
-    void hearPeers(SteadyTime now);
-    // Of the nodes that were there lately, those that speak, this one included.
-    double speakingPart(const std::vector<const PeerRow*>& alive, SteadyTime now) const;
+    // Exchange of state in one gossip period without relay nodes: applies the peers' rows and sends this node's row to them.
+    void exchangeDirectly(SteadyTime now);
+    // Number of nodes that currently send messages, divided by the number of nodes seen in the last 20 s (0 to 1), this node included.
+    double aliveShare(const std::vector<const PeerRow*>& alive, SteadyTime now) const;
     void setNodes(unsigned nodes);
 
-    // In a larger one, where relays add up. What a relay tells others goes out right after what it heard itself.
-    void hearFleet(SteadyTime now);
+    // The same with relay nodes, which aggregate the rows. A relay node builds and sends its aggregates in the same call, from what it
+    // has received until then.
+    void exchangeThroughRelays(SteadyTime now);
 
-    // Rows each period, sums of zones each period, sums of the fleet each second one from either relay: what arrives is as old as that.
-    void adaptToRelays();
-    std::map<EndpointLife, EndpointLoadReport> namedLoads(const std::map<ShortName, SummedLoad>& loads) const;
+    // Sets the times after which peer data is stale, with relay nodes: rows and zone aggregates are sent each period, the fleet aggregate
+    // every second period by each relay node of the zone, so received data may be that old.
+    void adaptRelayTimeouts();
+    // Looks up the short names in the list of endpoints; loads of unlisted endpoints are left out.
+    std::map<EndpointLife, EndpointLoadReport> loadsByIncarnation(const std::map<ShortName, SummedLoad>& loads) const;
 
-    // The nodes that the store names. Entries of those that have gone for good stay there: then more are expected than there are, and
-    // only the caution after a start costs.
-    void meetNodes(const std::vector<PeerContact>& others);
+    // Receives the other nodes that the store lists. Entries of nodes that were removed for good stay in the store, so more nodes may be
+    // expected than exist; this only prolongs the cautious use of team limits after a start.
+    void addListedNodes(const std::vector<PeerContact>& others);
 
-    // While the store is away, other nodes' messages name some. Without either, as many as the limits take by themselves.
-    void expectNodes();
+    // Sets how many nodes share the team limits: the listed nodes, or, while the store is unreachable, those named in peers' messages. If
+    // neither is known, the default of the team limits stays.
+    void updateExpectedNodes();
 
-    // How long a silence means nothing depends on how often a node hears another one.
-    void adaptToFleet();
+    // Sets the times after which peer data is stale, without relay nodes, from how often a node receives the rows of another one.
+    void adaptDirectTimeouts();
     static std::map<EndpointLife, EndpointLoadReport> sumLoads(const std::vector<const PeerRow*>& rows);
-    void tellUsage();
+    void sendUsage();
     PeerRow ownRow();
-    VersionNews ownVersions() const;
-
-    // What the fleet knows of versions that run side by side decides what this node may send to them.
-    void hearVersions(VersionNews others);
-
-    // The instance was suspended since the last tick: everything that holds a time has aged by as much, and the log says why.
-    void noteSuspension();
-
-    // Endpoints end under some request: told within moments, not with the next row.
-    void tellSuspectsSoon();
-    void tellSuspects();
-    void hearSuspects(const SuspectNews& news);
-    // What was blocked or cleared since the last call, for the log and the store.
-    void noteBlocked();
-    // What the store held when this node started.
-    void restoreBlocked(const std::vector<KeptRequest>&);
+    VersionNews ownVersionUpdate() const;
+
+    // Applies what the fleet knows of service versions that run side by side; it decides how many requests this node sends to each.
+    void applyVersionUpdate(VersionNews others);
+
+    // Counts and logs a suspension of the instance since the last tick. All stored times have aged by its duration; the log line explains
+    // the effects.
+    void detectSuspension();
+
+    // Endpoints have crashed while they ran a request: sends the suspected requests within 20 ms instead of with the next row.
+    void scheduleSuspectUpdate();
+    void sendSuspectUpdate();
+    void onSuspectUpdate(const SuspectNews& update);
+    // Logs requests that were blocked or cleared since the last call, and passes them to the store.
+    void reportBlockedRequests();
+    // Blocks the requests that were stored as blocked when this node started.
+    void restoreBlockedRequests(const std::vector<KeptRequest>&);
     SummaryOwner summaryOwner() const;
     NodeSummary summarize(const std::vector<const PeerRow*>& alive, SteadyTime now);
     NodeSummary summarize(const GroupSum& others, SteadyTime now);
-    WindowCounts usageOfAll() const;
+    // Usage of all nodes, by window and team.
+    WindowCounts fleetUsage() const;
 
-    // What is not in others' messages.
-    void addOwn(NodeSummary& result, SteadyTime now);
+    // Adds this node's own state, which messages of the other nodes do not contain.
+    void addOwnState(NodeSummary& result, SteadyTime now);
 
-    // Not ready at once; what comes until the balancer has noticed is still taken; then everything that runs may end.
+    // Reports not ready at once, serves new connections until the load balancer has noticed, then waits until running requests have ended
+    // or the grace time is nearly over.
     asio::awaitable<void> drain();
 
     const EntryOptions& options;
@@ -110,26 +122,27 @@
     ForwardServer server;
     PeerTable peers;
     FleetRelay relay;
-    WatchDecision watching { options.node, options.zone, options.watching };
+    WatchDecision watchDecision { options.node, options.zone, options.watching };
     PeerExchange exchange;
     AsyncHttpServer readiness;
     std::uint64_t lifetime;
     EntryLimits limits;
-    std::int64_t ownClockDifference; // As read at the start: a step of the clock later changes nothing.
+    // Wall clock minus steady clock in milliseconds, read at the start only, so that later clock steps have no effect.
+    std::int64_t ownClockDifference;
     SteadyTime startedAt { steadyNow() };
     SteadyTime::duration suspended { InstanceClock::suspended() };
     std::uint32_t sequence { 0 };
     std::uint32_t ticks { 0 };
-    std::uint32_t usagePhase { static_cast<std::uint32_t>(mixHash(std::hash<std::string> {}(options.node), 0) % usageEvery) };
-    std::vector<PeerContact> fleetHolders {}; // Nodes of a large fleet that say that they hold the duties.
-    std::string usageHolder {}; // To whom usage was told last,
-    unsigned toldInFull { 0 }; // and how often.
-    bool tellsSuspects { false }; // A notice is on its way.
-    unsigned listedNodes { 0 }; // In the store's list, this one included; 0 before it was read.
+    std::uint32_t usagePhase { static_cast<std::uint32_t>(mixHash(std::hash<std::string> {}(options.node), 0) % usagePeriodTicks) };
+    std::vector<PeerContact> fleetDutyHolders {}; // With relay nodes: the nodes that report to hold the singleton duties.
+    std::string lastUsageHolder {}; // The node that usage was last sent to,
+    unsigned fullReportsSent { 0 }; // and how many times after the first.
+    bool isSuspectUpdateScheduled { false }; // An update of suspected requests will be sent after the delay.
+    unsigned listedNodes { 0 }; // Nodes that the store lists, this one included; 0 before the list was read.
     Address controlAddress {};
-    // To the control thread.
-    std::function<void(const KeptRequest&)> keepBlocked {};
-    std::function<void(const RequestDigest&)> dropBlocked {};
+    // Both post to the control thread, which writes to the store.
+    std::function<void(const KeptRequest&)> saveBlockedRequest {};
+    std::function<void(const RequestDigest&)> deleteBlockedRequest {};
 };
 
 } // namespace Onyxnotch
