--- a/modules/entry/entry_control.cpp
+++ b/modules/entry/entry_control.cpp
@@ -22,7 +22,7 @@
     // Between attempts to register, and between reads of the other nodes while no peer is alive.
     constexpr Milliseconds nodeDiscoveryPeriod { 2000 };
     constexpr auto configurationName = "main";
-    // Average age of endpoints fetched from a peer: one gossip row and the fetch; with relay nodes also two aggregates.
+    // Average age of endpoints fetched from a peer: one gossip period and the fetch; with relay nodes also the sending of two aggregates.
     constexpr Milliseconds peerPageAge { 250 };
     constexpr Milliseconds relayedPageAge { 750 };
     // Values of the log field `source`.
--- a/modules/entry/entry_node.h
+++ b/modules/entry/entry_node.h
@@ -71,7 +71,7 @@
     Address gossipAddress() const;
 
 private:
-    // State that the control thread publishes to the request thread, which sends it to peers in the node's row.
+    // State that the control thread publishes to the request thread, which sends it to the other nodes each gossip period.
     struct ControlState {
         std::atomic<bool> holdsDuties { false };
         std::atomic<std::uint64_t> leftDutiesFence { 0 };
--- a/modules/entry/entry_requests.h
+++ b/modules/entry/entry_requests.h
@@ -21,12 +21,12 @@
 struct EntryNode::RequestSide {
     RequestSide(const EntryOptions& entryOptions, TrafficView& trafficView, NodeSummarySlot& summarySlot, Metrics& metrics, ControlState& controlState, VersionShareSlot& sharesSlot);
 
-    // Usage is sent once per this number of gossip periods, since the message is long and only the duty holder needs it. Each node has its
-    // own phase: a holder on a slow link would lose datagrams if all nodes sent at once.
+    // Usage is sent once per this number of gossip periods, since the message is long and only the holder of the metering duty needs it.
+    // Each node has its own phase: a holder on a slow link would lose datagrams if all nodes sent at once.
     static constexpr std::uint32_t usagePeriodTicks = 4;
     // Usage windows that ended longer ago than this have been sent several times and are not sent again.
     static constexpr std::uint64_t usageResendMilliseconds = 3000;
-    // Maximum number of draining endpoints in a row with relay nodes; a relay node forwards as many.
+    // With relay nodes: maximum number of draining endpoints that this node's state message lists; a relay node forwards as many.
     static constexpr std::size_t maximumDrainingMarks = 64;
     // Requests at a crashed endpoint fail within milliseconds of each other; after this delay one message reports all of them.
     static constexpr Milliseconds suspectUpdateDelay { 20 };
@@ -45,7 +45,7 @@
 
     HttpResponse answerReadiness() const { return { .status = isReady() ? HttpStatus::ok : HttpStatus::serviceUnavailable }; }
 
-    // Handles a peer's row. `isNewIncarnation`: it is the first one since the peer's last start.
+    // Handles a row, the state that another node sends each gossip period. `isNewIncarnation`: the first row since that node's last start.
     void onRow(const PeerRow& row, bool isNewIncarnation);
     asio::awaitable<void> gossip();
     // Once per gossip period; `seconds` have passed since the last call.
@@ -53,14 +53,14 @@
 
     bool usesRelays() const { return options.relays && relay.isNeeded(listedNodes); }
 
-    // Exchange of state in one gossip period without relay nodes: applies the peers' rows and sends this node's row to them.
+    // One gossip period without relay nodes: evaluates the rows received from the other nodes and sends this node's row.
     void exchangeDirectly(SteadyTime now);
     // Number of nodes that currently send messages, divided by the number of nodes seen in the last 20 s (0 to 1), this node included.
     double aliveShare(const std::vector<const PeerRow*>& alive, SteadyTime now) const;
     void setNodes(unsigned nodes);
 
-    // The same with relay nodes, which aggregate the rows. A relay node builds and sends its aggregates in the same call, from what it
-    // has received until then.
+    // One gossip period with relay nodes, which aggregate the rows. A relay node builds and sends its aggregates in the same call, from
+    // what it has received until then.
     void exchangeThroughRelays(SteadyTime now);
 
     // Sets the times after which peer data is stale, with relay nodes: rows and zone aggregates are sent each period, the fleet aggregate
@@ -70,7 +70,7 @@
     std::map<EndpointLife, EndpointLoadReport> loadsByIncarnation(const std::map<ShortName, SummedLoad>& loads) const;
 
     // Receives the other nodes that the store lists. Entries of nodes that were removed for good stay in the store, so more nodes may be
-    // expected than exist; this only prolongs the cautious use of team limits after a start.
+    // expected than exist. This only prolongs the time after a start in which this node uses a reduced share of the team limits.
     void addListedNodes(const std::vector<PeerContact>& others);
 
     // Sets how many nodes share the team limits: the listed nodes, or, while the store is unreachable, those named in peers' messages. If
@@ -135,8 +135,8 @@
     std::uint32_t ticks { 0 };
     std::uint32_t usagePhase { static_cast<std::uint32_t>(mixHash(std::hash<std::string> {}(options.node), 0) % usagePeriodTicks) };
     std::vector<PeerContact> fleetDutyHolders {}; // With relay nodes: the nodes that report to hold the singleton duties.
-    std::string lastUsageHolder {}; // The node that usage was last sent to,
-    unsigned fullReportsSent { 0 }; // and how many times after the first.
+    std::string lastUsageHolder {}; // Name of the duty holder that usage was last sent to,
+    unsigned fullReportsSent { 0 }; // and how many more times it was sent to the same one.
     bool isSuspectUpdateScheduled { false }; // An update of suspected requests will be sent after the delay.
     unsigned listedNodes { 0 }; // Nodes that the store lists, this one included; 0 before the list was read.
     Address controlAddress {};
