--- a/modules/balance/endpoint_book.cpp
+++ b/modules/balance/endpoint_book.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-    constexpr Milliseconds markSpreadTime { 5000 }; // Twice what a row needs to reach a node of another zone in a fleet of a hundred.
-    // A mark of an endpoint that is no longer listed is kept this long: news of it from a node that was cut off may be that late.
-    constexpr Milliseconds markKeptTime { 60000 };
-    constexpr Milliseconds trustedAfter { 2000 }; // A node with ten requests a second has seen twenty by then, if any found nothing waiting.
-    constexpr double comfortablePart = 0.4; // Of the objective: an expectation that is wrong by a factor of two is still on time.
-    constexpr double reservedMemoryPart = 0.75; // Of an engine's memory that prefixes may keep; running requests take the rest.
+    constexpr Milliseconds markSendTime { 5000 }; // Twice the time a row needs to reach a node in another zone in a fleet of 100 nodes.
+    // A mark is kept this long after its endpoint left the list, since a node that was cut off may send outdated state that late.
+    constexpr Milliseconds markRetention { 60000 };
+    constexpr Milliseconds trustedAfter { 2000 }; // At ten requests a second a node has seen twenty by then, if any found nothing waiting.
+    constexpr double earlyEnoughFraction = 0.4; // Of the objective: an estimate that is too low by half is still on time.
+    constexpr double prefixMemoryFraction = 0.75; // Of an engine's memory, for cached prefixes; running requests use the remainder.
 
     std::uint64_t hashText(const std::string& text) { return mixHash(std::hash<std::string> {}(text), 0); }
 
@@ -29,10 +29,10 @@
         return {};
     m_list = list;
     for (const auto& it : configuration.declaration().services)
-        m_memoryTokens[it.name] = it.engine ? it.engine->memoryTokens * reservedMemoryPart : 0;
+        m_memoryTokens[it.name] = it.engine ? it.engine->memoryTokens * prefixMemoryFraction : 0;
     for (const auto& [id, listed] : list->endpoints) {
         auto& state = m_endpoints[listed.life()];
-        // Connections lead to an address: at another one, nothing is open.
+        // The state includes connections to the address, so a changed address starts with new state.
         if (!state || state->listed.address != listed.address)
             state = std::make_shared<EndpointState>();
         if (state->listed != listed)
@@ -40,23 +40,23 @@
         if (listed.leaving)
             mark(listed.life(), m_readsStore, now);
     }
-    std::vector<EndpointLife> gone;
+    std::vector<EndpointLife> disappeared;
     for (const auto& [life, state] : m_endpoints) {
-        if (!usesLife(life) && !m_leaving.contains(life))
-            gone.push_back(life);
+        if (!isListed(life) && !m_leaving.contains(life))
+            disappeared.push_back(life);
     }
-    std::erase_if(m_endpoints, [&](const auto& it) { return !usesLife(it.first); });
-    forgetOldMarks(now);
-    m_ofService.clear();
+    std::erase_if(m_endpoints, [&](const auto& it) { return !isListed(it.first); });
+    removeExpiredMarks(now);
+    m_endpointsByService.clear();
     for (const auto& [life, state] : m_endpoints)
-        m_ofService[state->listed.service].push_back(state);
-    return gone;
+        m_endpointsByService[state->listed.service].push_back(state);
+    return disappeared;
 }
 
 bool EndpointBook::isExpectedToLive(const EndpointLife& life) const { return m_endpoints.contains(life) && !m_leaving.contains(life); }
 
-// Whether the list holds this life of the endpoint.
-bool EndpointBook::usesLife(const EndpointLife& life) const
+// Whether the list contains this incarnation of the endpoint.
+bool EndpointBook::isListed(const EndpointLife& life) const
 {
     if (!m_list)
         return false;
@@ -64,38 +64,38 @@
     return it != m_list->endpoints.end() && it->second.born == life.born;
 }
 
-void EndpointBook::mark(const EndpointLife& life, bool foundHere, SteadyTime now)
+void EndpointBook::mark(const EndpointLife& life, bool isFoundLocally, SteadyTime now)
 {
     auto& known = m_leaving.try_emplace(life, LeavingMark { .since = now }).first->second;
-    known.foundHere = known.foundHere || foundHere;
+    known.isFoundLocally = known.isFoundLocally || isFoundLocally;
 }
 
-void EndpointBook::forgetOldMarks(SteadyTime now)
+void EndpointBook::removeExpiredMarks(SteadyTime now)
 {
-    std::erase_if(m_leaving, [&](const auto& it) { return now - it.second.since > markKeptTime && !usesLife(it.first); });
+    std::erase_if(m_leaving, [&](const auto& it) { return now - it.second.since > markRetention && !isListed(it.first); });
 }
 
 void EndpointBook::markLeaving(const EndpointLife& life, SteadyTime now) { mark(life, false, now); }
 
 void EndpointBook::foundLeaving(const EndpointLife& life, SteadyTime now) { mark(life, true, now); }
 
-void EndpointBook::tellMarksAgain(SteadyTime now) { m_tellsMarksUntil = now + markSpreadTime; }
+void EndpointBook::tellMarksAgain(SteadyTime now) { m_resendMarksUntil = now + markSendTime; }
 
-// Older marks have reached everybody, or the list tells them.
-bool EndpointBook::isWorthTelling(const EndpointLife& life, const LeavingMark& mark, SteadyTime now) const
+// Older marks have reached all nodes or are shown by the list, except while marks are sent again for a node that has just started.
+bool EndpointBook::shouldSendMark(const EndpointLife& life, const LeavingMark& mark, SteadyTime now) const
 {
-    if (now - mark.since < markSpreadTime)
+    if (now - mark.since < markSendTime)
         return true;
-    return now < m_tellsMarksUntil && isListedAsStaying(life);
+    return now < m_resendMarksUntil && isListedAndNotLeaving(life);
 }
 
-bool EndpointBook::isListedAsStaying(const EndpointLife& life) const { return usesLife(life) && !m_list->endpoints.at(life.id).leaving; }
+bool EndpointBook::isListedAndNotLeaving(const EndpointLife& life) const { return isListed(life) && !m_list->endpoints.at(life.id).leaving; }
 
 std::vector<EndpointLife> EndpointBook::unlistedLeavingMarks() const
 {
     std::vector<EndpointLife> unlisted;
     for (const auto& [life, mark] : m_leaving) {
-        if (isListedAsStaying(life))
+        if (isListedAndNotLeaving(life))
             unlisted.push_back(life);
     }
     return unlisted;
@@ -105,23 +105,23 @@
 {
     std::vector<EndpointLife> recent;
     for (const auto& [life, mark] : m_leaving) {
-        if (isWorthTelling(life, mark, now))
+        if (shouldSendMark(life, mark, now))
             recent.push_back(life);
     }
     return recent;
 }
 
-std::vector<EndpointLife> EndpointBook::ownLeavingMarks(SteadyTime now, std::size_t most) const
+std::vector<EndpointLife> EndpointBook::ownLeavingMarks(SteadyTime now, std::size_t maximum) const
 {
     std::vector<std::pair<SteadyTime, EndpointLife>> found;
     for (const auto& [life, mark] : m_leaving) {
-        bool isOwn = mark.foundHere || now < m_tellsMarksUntil;
-        if (isOwn && isWorthTelling(life, mark, now))
+        bool isOwn = mark.isFoundLocally || now < m_resendMarksUntil;
+        if (isOwn && shouldSendMark(life, mark, now))
             found.emplace_back(mark.since, life);
     }
     std::sort(found.rbegin(), found.rend());
-    if (found.size() > most)
-        found.resize(most);
+    if (found.size() > maximum)
+        found.resize(maximum);
     std::vector<EndpointLife> lives;
     lives.reserve(found.size());
     for (auto& [since, life] : found)
@@ -129,16 +129,16 @@
     return lives;
 }
 
-bool EndpointBook::suits(const EndpointState& state, const EndpointRequest& request) const
+bool EndpointBook::isEligible(const EndpointState& state, const EndpointRequest& request) const
 {
     const auto& barred = request.versions.barred;
     return !isLeaving(state.listed.life()) && std::find(barred.begin(), barred.end(), state.listed.version) == barred.end();
 }
 
-bool EndpointBook::mayUse(const EndpointState& state, const EndpointRequest& request, SteadyTime now) const
+bool EndpointBook::isCandidate(const EndpointState& state, const EndpointRequest& request, SteadyTime now) const
 {
     bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), state.listed.id) != request.excluded.end();
-    if (isExcluded || !suits(state, request) || m_rests.isResting(state.listed.life(), now))
+    if (isExcluded || !isEligible(state, request) || m_rests.isResting(state.listed.life(), now))
         return false;
     return !request.skipsSpent || m_limits.creditAt(state.listed.life(), now) <= now;
 }
@@ -146,11 +146,11 @@
 double EndpointBook::limitOf(const EndpointRequest& request) const
 {
     double perSecond = 0;
-    auto found = m_ofService.find(request.service);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(request.service);
+    if (found == m_endpointsByService.end())
         return perSecond;
     for (const auto& it : found->second) {
-        if (suits(*it, request))
+        if (isEligible(*it, request))
             perSecond += m_limits.perSecond(it->listed.life()).value_or(0);
     }
     return perSecond;
@@ -158,12 +158,12 @@
 
 std::optional<SteadyTime> EndpointBook::firstBack(const EndpointRequest& request, SteadyTime now) const
 {
-    auto found = m_ofService.find(request.service);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(request.service);
+    if (found == m_endpointsByService.end())
         return std::nullopt;
     std::optional<SteadyTime> first;
     for (const auto& it : found->second) {
-        if (!suits(*it, request))
+        if (!isEligible(*it, request))
             continue;
         auto end = std::max(m_rests.endOf(it->listed.life()), m_limits.creditAt(it->listed.life(), now));
         if (end <= now)
@@ -173,7 +173,7 @@
     return first;
 }
 
-void EndpointBook::keepWantedVersion(std::vector<std::shared_ptr<EndpointState>>& usable, const VersionLimits& limits)
+void EndpointBook::keepOnlyWantedVersion(std::vector<std::shared_ptr<EndpointState>>& usable, const VersionLimits& limits)
 {
     if (limits.wanted.empty())
         return;
@@ -182,7 +182,7 @@
     if (wanted.empty())
         return;
     if (limits.mostEndpoints > 0 && wanted.size() > limits.mostEndpoints) {
-        // The same ones at every node.
+        // Sorting by hash makes every node keep the same endpoints.
         std::sort(wanted.begin(), wanted.end(), [](const auto& left, const auto& right) { return hashOf(left->listed.life()) < hashOf(right->listed.life()); });
         wanted.resize(limits.mostEndpoints);
     }
@@ -203,23 +203,23 @@
 
 std::optional<ChosenEndpoint> EndpointBook::choose(const EndpointRequest& request, SteadyTime now) const
 {
-    auto found = m_ofService.find(request.service);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(request.service);
+    if (found == m_endpointsByService.end())
         return std::nullopt;
     std::vector<std::shared_ptr<EndpointState>> usable;
-    std::vector<std::shared_ptr<EndpointState>> resting;
+    std::vector<std::shared_ptr<EndpointState>> excludedForFailures;
     for (const auto& it : found->second) {
-        if (mayUse(*it, request, now))
-            (it->health.isUsable(now) ? usable : resting).push_back(it);
+        if (isCandidate(*it, request, now))
+            (it->health.isUsable(now) ? usable : excludedForFailures).push_back(it);
     }
-    // Where every endpoint is set aside, the evidence speaks against something else than the endpoints.
+    // If every endpoint is excluded for failures, the cause is probably not the endpoints, so they are used anyway.
     if (usable.empty())
-        usable = std::move(resting);
-    keepWantedVersion(usable, request.versions);
+        usable = std::move(excludedForFailures);
+    keepOnlyWantedVersion(usable, request.versions);
     auto chains = chainHashes(request.parts);
-    // The last part belongs to the request itself or to its session; what stands before it is shared.
+    // The last part belongs to the request itself or to its session; the parts before it may be shared with other requests.
     auto key = chains.size() > 1 ? chains[chains.size() - 2] : (chains.empty() ? 0 : chains.back());
-    ChoiceRequest wanted { .promptTokens = request.promptTokens, .slotSeconds = slotSeconds(request.service), .comfortableSeconds = request.objectiveSeconds * comfortablePart };
+    ChoiceRequest wanted { .promptTokens = request.promptTokens, .slotSeconds = slotSeconds(request.service), .earlyEnoughSeconds = request.objectiveSeconds * earlyEnoughFraction };
     for (std::size_t n = 0; n + 1 < request.parts.size(); ++n)
         wanted.sharedTokens += request.parts[n].tokens;
     std::vector<ChoiceCandidate> candidates;
@@ -229,7 +229,7 @@
             .slots = it->listed.slots,
             .inFlight = it->inFlight + it->peersInFlight,
             .waitingTokens = waitingTokens(*it, now),
-            .keptTokens = it->prefixes.keptTokens(request.parts),
+            .cachedTokens = it->prefixes.cachedTokens(request.parts),
             .rank = mixHash(hashText(it->listed.id), key),
             .sameZone = it->listed.zone == m_zone,
         });
@@ -275,10 +275,10 @@
     auto rate = m_firstEvents.secondsPerToken();
     if (rate <= 0)
         return state.waitingTokens + state.peersWaitingTokens;
-    auto readSince = std::chrono::duration<double>(now - state.peersToldAt).count() / rate;
-    auto announced = std::chrono::duration<double>(state.peersPrefillEnd - now).count() / rate;
-    // A prompt that was told at once stands in the next row as well.
-    return state.waitingTokens + std::max({ 0.0, state.peersWaitingTokens - readSince, announced });
+    auto tokensReadSince = std::chrono::duration<double>(now - state.peerLoadsAt).count() / rate;
+    auto announcedTokens = std::chrono::duration<double>(state.peersPrefillEndsAt - now).count() / rate;
+    // A prompt announced by a PrefillNotice is also counted in the sender's next row: take the larger value instead of adding both.
+    return state.waitingTokens + std::max({ 0.0, state.peersWaitingTokens - tokensReadSince, announcedTokens });
 }
 
 void EndpointBook::notePeersPrefill(const EndpointLife& life, double tokens, SteadyTime now)
@@ -287,7 +287,7 @@
     if (it == m_endpoints.end())
         return;
     auto duration = std::chrono::duration_cast<SteadyTime::duration>(std::chrono::duration<double>(prefillSeconds(tokens)));
-    it->second->peersPrefillEnd = std::max(it->second->peersPrefillEnd, now) + duration;
+    it->second->peersPrefillEndsAt = std::max(it->second->peersPrefillEndsAt, now) + duration;
 }
 
 void EndpointBook::setPeerLoads(const std::map<EndpointLife, EndpointLoadReport>& loads, SteadyTime now)
@@ -296,7 +296,7 @@
         auto it = loads.find(life);
         state->peersInFlight = it == loads.end() ? 0 : it->second.inFlight;
         state->peersWaitingTokens = it == loads.end() ? 0 : it->second.waitingTokens;
-        state->peersToldAt = now;
+        state->peerLoadsAt = now;
     }
 }
 
--- a/modules/balance/endpoint_book.h
+++ b/modules/balance/endpoint_book.h
@@ -1,4 +1,5 @@
-// The endpoints as this node uses them: connections, requests in flight, health, prefix memory. Belongs to the request thread.
+// This node's view of all endpoints: connections, requests in flight, health, expected prefix cache, leaving marks and backoffs.
+// Chooses the endpoint for each request. Used by the request thread only.
 #pragma once
 
 #include "core/net/async_connection.h"
@@ -15,7 +16,7 @@
 
 namespace Onyxnotch {
 
-// Load that another node has told of an endpoint.
+// Load that one node's requests put on an endpoint; nodes send these reports to each other.
 struct EndpointLoadReport {
     EndpointLife endpoint {};
     double inFlight { 0 };
@@ -27,7 +28,7 @@
     void serialize(Archive& archive) { archive(endpoint, inFlight, waitingTokens); }
 };
 
-// One endpoint, with what this node knows of it.
+// One incarnation of an endpoint with this node's state for it.
 struct EndpointState {
     struct IdleConnection {
         std::shared_ptr<AsyncConnection> connection {};
@@ -35,37 +36,37 @@
     };
 
     ListedEndpoint listed {};
-    std::deque<IdleConnection> idle {}; // Most recent last.
-    unsigned connections { 0 }; // Open, idle ones included.
+    std::deque<IdleConnection> idle {}; // Most recently used last.
+    unsigned connections { 0 }; // Open connections, including idle ones.
     unsigned inFlight { 0 };
     double waitingTokens { 0 };
     double peersInFlight { 0 };
-    double peersWaitingTokens { 0 }; // At `peersToldAt`; they are read meanwhile.
-    SteadyTime peersToldAt {};
-    SteadyTime peersPrefillEnd {}; // By when long prompts that peers told of at once should have been read.
+    double peersWaitingTokens { 0 }; // Unread prompt tokens of other nodes' requests as of `peerLoadsAt`; the engine has read some since.
+    SteadyTime peerLoadsAt {};
+    SteadyTime peersPrefillEndsAt {}; // Expected end of prefill for the long prompts that other nodes announced by PrefillNotice.
     EndpointHealth health {};
     PrefixCache prefixes {};
 };
 
-// What a request asks of its endpoint.
+// What a request needs from the endpoint that is chosen for it.
 struct EndpointRequest {
     std::string service {};
     std::vector<PromptPart> parts {};
     double promptTokens { 0 };
-    double objectiveSeconds { 0 }; // What is left of it.
-    std::vector<std::string> excluded {}; // Ids that this request was sent to before, or got no credit for.
-    bool skipsSpent { false }; // Whether endpoints that have no credit now are left out.
+    double objectiveSeconds { 0 }; // Time left until the request's first-event objective.
+    std::vector<std::string> excluded {}; // Ids of endpoints that the request was already sent to, or for which it got no credit.
+    bool skipsSpent { false }; // Leave out endpoints that have no credit at present.
     VersionLimits versions {};
 };
 
 struct ChosenEndpoint {
     std::shared_ptr<EndpointState> endpoint {};
     double expectedSeconds { 0 };
-    double unqueuedSeconds { 0 }; // Of these, if nothing else were there.
-    double leastWaitSeconds { 0 }; // At any endpoint of the service.
+    double unqueuedSeconds { 0 }; // Part of `expectedSeconds` that remains if no other request is at the endpoint.
+    double leastWaitSeconds { 0 }; // Shortest expected wait behind other requests at any candidate endpoint.
     double uncachedTokens { 0 };
-    double waitingTokens { 0 }; // Before this request, as expected.
-    bool slotFree { false }; // As expected.
+    double waitingTokens { 0 }; // Unread prompt tokens that are expected at the endpoint ahead of this request.
+    bool slotFree { false }; // A slot is expected to be free.
     std::string_view reason {};
 };
 
@@ -73,44 +74,47 @@
 public:
     explicit EndpointBook(std::string zone);
 
-    // Takes over the list where it has changed; endpoints that left it get no new requests, and a new life of one starts with nothing.
-    // Returns the lives that have gone without having announced it.
+    // Adopts the list if it has changed. Endpoints that are no longer listed get no new requests; a new incarnation starts with empty
+    // state. Returns the incarnations that disappeared from the list without having been marked as leaving.
     std::vector<EndpointLife> update(const std::shared_ptr<const EndpointList>&, const TrafficConfiguration&, SteadyTime now);
-    // Another node knows that it is leaving.
+    // Records a mark received from another node: this endpoint incarnation is leaving.
     void markLeaving(const EndpointLife&, SteadyTime now);
-    // This node has found it out by itself, by a try or by the store's list.
+    // Records that this node itself found the endpoint to be leaving, by an attempt or by the list read from the store.
     void foundLeaving(const EndpointLife&, SteadyTime now);
-    // Whether what update() reads was told by the store itself, not by another node. Changes what is told on as found out here.
+    // Sets whether the lists passed to update() come from the store itself rather than from another node. Only then do leaving endpoints in
+    // the list count as found by this node (see ownLeavingMarks()).
     void setReadsStore(bool readsStore) { m_readsStore = readsStore; }
-    // Marks of the last few seconds, the newest first, for the other nodes; older ones have reached them, or the store's list has.
+    // Marks of the last 5 seconds, to send to other nodes. Older marks have reached them already, or the store's list has.
     std::vector<EndpointLife> recentLeavingMarks(SteadyTime now) const;
-    // Those of them that this node has found out by itself, at most so many: what is told in a large fleet, where relays tell all others.
-    // Told on by each node that heard of them, the marks of 1,300 endpoints that left within five seconds would be 27 KB in each row.
-    std::vector<EndpointLife> ownLeavingMarks(SteadyTime now, std::size_t most) const;
+    // The recent marks that this node found itself, newest first, up to `maximum`. Used in a large fleet, where relay nodes forward marks:
+    // if every node also repeated the marks it received, 1,300 endpoints leaving within five seconds would add 27 KB to each row.
+    std::vector<EndpointLife> ownLeavingMarks(SteadyTime now, std::size_t maximum) const;
 
-    // Those that the list does not tell, whatever their age.
+    // Marks of any age whose endpoint the list still shows as not leaving.
     std::vector<EndpointLife> unlistedLeavingMarks() const;
-    // A node has started, and knows of no mark before its start: for a while those that the list does not tell are told again.
+    // Called when another node has started, which knows no mark from before its start: for 5 seconds the marks that the list does not show
+    // are sent again.
     void tellMarksAgain(SteadyTime now);
 
-    // Whether this life is in use, and nobody has said that it leaves.
+    // Whether this incarnation is in the list and not marked as leaving.
     bool isExpectedToLive(const EndpointLife&) const;
     bool isLeaving(const EndpointLife& life) const { return m_leaving.contains(life); }
-    // It wants nothing from this node for so long. However few others are left, it is not chosen: it has not failed, and would refuse.
+    // Records a backoff requested by the endpoint. During `rest` it is not chosen, even as the last one left: it would refuse the request.
     void askedRest(const EndpointLife& life, Milliseconds rest, SteadyTime now) { m_rests.ask(life, rest, now); }
     std::size_t resting(SteadyTime now) const { return m_rests.resting(now); }
-    // Whether a request that was to be sent there still may be.
+    // Whether a request that was assigned to this endpoint may still be sent there.
     bool mayStillSend(const EndpointLife& life, SteadyTime now) const { return isExpectedToLive(life) && !m_rests.isResting(life, now); }
-    // What endpoints named of how much they take from all nodes together.
+    // Limits that endpoints advertise for the requests of all nodes together.
     EndpointLimits& limits() { return m_limits; }
     const EndpointLimits& limits() const { return m_limits; }
-    // What those that could take the request take a second, of those that named it.
+    // Sum of the advertised limits, in requests per second, of the endpoints that are eligible for the request.
     double limitOf(const EndpointRequest&) const;
-    // When the first endpoint that could take the request has rested and has a credit. Empty where one has at once, or there is none.
+    // Earliest time at which an eligible endpoint's backoff has ended and a credit is available. Empty if that holds for one now, or if no
+    // endpoint is eligible.
     std::optional<SteadyTime> firstBack(const EndpointRequest&, SteadyTime now) const;
-    // Empty where the service has no endpoint that may be used. Changes nothing: a request that is sent there is noted by noteSent().
+    // Chooses an endpoint; empty if the service has none that may be used. Changes no state: call noteSent() when the request is sent.
     std::optional<ChosenEndpoint> choose(const EndpointRequest&, SteadyTime now) const;
-    // The endpoint will keep what the request's prompt shares with others.
+    // Records that the request is sent to the endpoint, which is then expected to have the prompt's parts in its prefix cache.
     void noteSent(const EndpointRequest&, EndpointState&, SteadyTime now);
 
     // Counts a request in flight from construction to destruction.
@@ -121,7 +125,7 @@
         ~Flight();
         Flight(Flight&&) noexcept;
         Flight& operator=(Flight&&) noexcept;
-        // The prompt has been read: its first event is here.
+        // Called at the first event of the answer: the prompt has been read.
         void prefilled();
 
     private:
@@ -130,55 +134,56 @@
         double m_waitingTokens { 0 };
     };
 
-    // Own requests in flight, for the other nodes.
+    // Load of this node's requests in flight by endpoint, to send to other nodes.
     std::vector<EndpointLoadReport> ownLoads() const;
-    // Sums over all other nodes, by endpoint.
+    // Sets the load that all other nodes together put on each endpoint.
     void setPeerLoads(const std::map<EndpointLife, EndpointLoadReport>&, SteadyTime now);
-    // Another node has just sent a long prompt there.
+    // Records another node's notice that it has just sent a long prompt with `tokens` uncached tokens to the endpoint.
     void notePeersPrefill(const EndpointLife&, double tokens, SteadyTime now);
-    // Tokens of prompts, of this node and of the others, that should not have been read yet.
+    // Prompt tokens, of this node's and other nodes' requests, that the endpoint is estimated not to have read yet.
     double waitingTokens(const EndpointState&, SteadyTime now) const;
 
-    // How old the other nodes' loads are.
+    // Sets the typical age of the load reports of other nodes.
     void setPeersStaleFor(Milliseconds age) { m_options.staleSeconds = std::chrono::duration<double>(age).count(); }
-    // A request that found nothing waiting had its first event after `seconds`.
+    // Records the time to first event of a request that found no other prompt waiting at its endpoint.
     void observeFirstEvent(double uncachedTokens, double seconds);
-    // A request that found a slot free held it for `seconds`.
+    // Records how long a request that found a free slot occupied it.
     void observeSlot(const std::string& service, double seconds) { m_slotTimes[service].observe(seconds); }
-    // Whether expected times of prompts rest on what this node has seen. Where hardly a request finds nothing waiting for two seconds,
-    // the endpoints are overloaded, and a wrong time is better than none: what is refused for it lets others find nothing waiting, and
-    // they correct it.
+    // Whether estimated prompt times may be used to refuse requests: true once enough times were observed, or 2 seconds after the first
+    // prompt was sent. If requests that find no other prompt waiting are still too rare by then, the endpoints are overloaded and an
+    // inaccurate estimate is better than none: refusals based on it let other requests find nothing waiting, whose times correct the
+    // estimate.
     bool trustsTimes(SteadyTime now) const;
-    // How long an engine reads a prompt, as learnt.
+    // Estimated time an engine needs to read that many uncached prompt tokens.
     double prefillSeconds(double uncachedTokens) const { return uncachedTokens * m_firstEvents.secondsPerToken(); }
 
 private:
     struct LeavingMark {
         SteadyTime since {};
-        bool foundHere { false };
+        bool isFoundLocally { false };
     };
 
-    void mark(const EndpointLife&, bool foundHere, SteadyTime now);
-    void forgetOldMarks(SteadyTime now);
+    void mark(const EndpointLife&, bool isFoundLocally, SteadyTime now);
+    void removeExpiredMarks(SteadyTime now);
     double memoryTokens(const std::string& service) const;
     double slotSeconds(const std::string& service) const;
-    // Whether it lives on and runs a version that the request may go to.
-    bool suits(const EndpointState&, const EndpointRequest&) const;
-    bool mayUse(const EndpointState&, const EndpointRequest&, SteadyTime now) const;
-    bool usesLife(const EndpointLife&) const;
-    // Whether the list holds this life and does not say that it leaves.
-    bool isListedAsStaying(const EndpointLife&) const;
-    bool isWorthTelling(const EndpointLife&, const LeavingMark&, SteadyTime now) const;
-    // Leaves those of the version that the request should go to, where there are any.
-    static void keepWantedVersion(std::vector<std::shared_ptr<EndpointState>>&, const VersionLimits&);
+    // Whether the endpoint is not leaving and runs a version that the request may go to.
+    bool isEligible(const EndpointState&, const EndpointRequest&) const;
+    bool isCandidate(const EndpointState&, const EndpointRequest&, SteadyTime now) const;
+    bool isListed(const EndpointLife&) const;
+    // Whether the list contains this incarnation and does not show it as leaving.
+    bool isListedAndNotLeaving(const EndpointLife&) const;
+    bool shouldSendMark(const EndpointLife&, const LeavingMark&, SteadyTime now) const;
+    // Reduces the endpoints to those with the version that the request should go to, if there are any.
+    static void keepOnlyWantedVersion(std::vector<std::shared_ptr<EndpointState>>&, const VersionLimits&);
 
     std::string m_zone;
     std::shared_ptr<const EndpointList> m_list {};
     std::map<EndpointLife, std::shared_ptr<EndpointState>> m_endpoints {};
-    std::map<std::string, std::vector<std::shared_ptr<EndpointState>>> m_ofService {};
+    std::map<std::string, std::vector<std::shared_ptr<EndpointState>>> m_endpointsByService {};
     std::map<std::string, double> m_memoryTokens {}; // By service.
-    std::map<EndpointLife, LeavingMark> m_leaving {}; // Never taken back while the life is listed.
-    SteadyTime m_tellsMarksUntil {};
+    std::map<EndpointLife, LeavingMark> m_leaving {}; // A mark is never withdrawn while the incarnation is listed.
+    SteadyTime m_resendMarksUntil {};
     EndpointRests m_rests {};
     EndpointLimits m_limits {};
     bool m_readsStore { true };
--- a/modules/balance/endpoint_choice.h
+++ b/modules/balance/endpoint_choice.h
@@ -1,4 +1,4 @@
-// Chooses an endpoint for one request: a pure function of what is known, with its reason.
+// Chooses an endpoint for one request from a list of candidates and reports the reason. Pure functions without state.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,13 @@
 
 namespace Onyxnotch {
 
-// What the choice knows of an endpoint.
+// One endpoint as input to the choice.
 struct ChoiceCandidate {
     unsigned slots { 1 };
-    double inFlight { 0 }; // Of this node, and of the others as far as they have said.
-    double waitingTokens { 0 }; // Prompt tokens that were sent there and not yet answered by a first event.
-    double keptTokens { 0 }; // Of this prompt, expected in its prefix memory.
-    std::uint64_t rank { 0 }; // The endpoint's hash with the prompt's prefix: all nodes rank alike.
+    double inFlight { 0 }; // Requests of this node, and of other nodes as last reported.
+    double waitingTokens { 0 }; // Tokens of prompts that were sent there and have had no first event yet.
+    double cachedTokens { 0 }; // Tokens of this prompt that are expected in the endpoint's prefix cache.
+    std::uint64_t rank { 0 }; // Hash of the endpoint and the prompt's prefix, so that all nodes rank the endpoints alike.
     bool sameZone { false };
 
     bool operator==(const ChoiceCandidate&) const = default;
@@ -23,40 +23,40 @@
 
 struct ChoiceRequest {
     double promptTokens { 0 }; // 0 for services without prompts.
-    double sharedTokens { 0 }; // Of these, in parts that other requests may share.
-    double slotSeconds { 0 }; // How long a usual request of the service holds a slot, as learnt (SlotTimeModel).
-    double comfortableSeconds { 0 }; // Whatever begins within this time is on time: then what is read less is better than what is sooner.
+    double sharedTokens { 0 }; // Tokens of the prompt in parts that other requests may share.
+    double slotSeconds { 0 }; // Average time that a request of the service occupies a slot, as measured by SlotTimeModel.
+    double earlyEnoughSeconds { 0 }; // Candidates expected to start within this time are compared by uncached tokens, not by time.
 
     bool operator==(const ChoiceRequest&) const = default;
 };
 
 struct ChoiceOptions {
-    // Of one engine, as learnt (FirstEventModel).
-    double fixedSeconds { 0.02 }; // To a first event, however short the prompt.
-    double secondsPerToken { 1.0 / 40000 }; // Of the prompt.
-    double staleSeconds { 0.25 }; // Age of what other nodes have told: as many requests as come in this time may have been missed.
-    double stepSeconds { 0.0005 }; // By which each running stream delays the others' first token.
-    double otherZoneSeconds { 0.0005 }; // What another availability zone costs: delay and priced bytes.
+    // Times of one engine, as estimated by FirstEventModel.
+    double fixedSeconds { 0.02 }; // Time to first event that does not depend on the prompt's length.
+    double secondsPerToken { 1.0 / 40000 }; // Prefill time per uncached prompt token.
+    double staleSeconds { 0.25 }; // Age of other nodes' load reports; requests that arrived since are not in them.
+    double stepSeconds { 0.0005 }; // Delay of a first token by each running stream.
+    double otherZoneSeconds { 0.0005 }; // Cost of using another availability zone: network delay and paid traffic, as seconds.
 };
 
 struct EndpointChoice {
     std::size_t candidate { 0 };
-    double uncachedTokens { 0 }; // Of the prompt, expected.
-    double expectedSeconds { 0 }; // Until the first byte of the answer, without the network.
-    double unqueuedSeconds { 0 }; // Of these, if nothing else were there.
-    double leastWaitSeconds { 0 }; // Of all candidates, for what is there before the request.
-    std::string_view reason {}; // "home", "least_wait".
+    double uncachedTokens { 0 }; // Prompt tokens that the endpoint is expected to have to read.
+    double expectedSeconds { 0 }; // Until the first byte of the answer, without network time.
+    double unqueuedSeconds { 0 }; // Part of `expectedSeconds` that remains if no other request is at the endpoint.
+    double leastWaitSeconds { 0 }; // Shortest wait behind other requests over all candidates.
+    std::string_view reason {}; // "home" (the candidate with the highest rank) or "least_wait".
 };
 
-// The time until a first token, or an answer's begin, at this candidate.
+// Expected seconds until the first token, or the start of the answer, at this candidate.
 double expectedSeconds(const ChoiceCandidate&, const ChoiceRequest&, const ChoiceOptions&);
 
-// The same where nothing else is there.
+// Expected seconds until the first token if no other request is at the candidate.
 double unqueuedSeconds(const ChoiceCandidate&, const ChoiceRequest&, const ChoiceOptions&);
 
-// Of the candidates that begin within the comfortable time, the one that reads the least; without any, the one with the least expected
-// time. The one with the highest rank is expected to keep the shared parts even where this node
-// cannot tell: other nodes send them there too. Empty where there are no candidates.
+// Returns the candidate with the fewest uncached tokens among those expected to start within `earlyEnoughSeconds`; if there is none, the
+// one with the shortest expected time. The candidate with the highest rank is assumed to have the shared parts cached even if this node has
+// not sent them there, because other nodes do. Empty if there are no candidates.
 std::optional<EndpointChoice> chooseEndpoint(const std::vector<ChoiceCandidate>&, const ChoiceRequest&, const ChoiceOptions&);
 
 } // namespace Onyxnotch
--- a/modules/balance/endpoint_health.cpp
+++ b/modules/balance/endpoint_health.cpp
@@ -6,50 +6,50 @@
 
 EndpointHealth::EndpointHealth(const EndpointHealthOptions& options)
     : m_options(options)
-    , m_nextRest(options.firstRest)
+    , m_nextExclusion(options.firstExclusion)
     , m_nextPause(options.firstPause)
 {
 }
 
 void EndpointHealth::onSuccess()
 {
-    m_requests = m_requests * m_options.memoryPerRequest + 1;
-    m_failures *= m_options.memoryPerRequest;
+    m_requests = m_requests * m_options.decayPerRequest + 1;
+    m_failures *= m_options.decayPerRequest;
     m_unreachable = 0;
     m_nextPause = m_options.firstPause;
-    // A sound endpoint earns its first short rest back.
+    // Once few recent failures remain, the next exclusion is as short as the first again.
     if (m_failures < 1)
-        m_nextRest = m_options.firstRest;
+        m_nextExclusion = m_options.firstExclusion;
 }
 
 void EndpointHealth::onFailure(SteadyTime now)
 {
-    m_requests = m_requests * m_options.memoryPerRequest + 1;
-    m_failures = m_failures * m_options.memoryPerRequest + 1;
-    bool judged = m_requests >= m_options.minimumEvidence;
-    if (judged && m_failures > m_options.failurePart * m_requests)
-        rest(now);
+    m_requests = m_requests * m_options.decayPerRequest + 1;
+    m_failures = m_failures * m_options.decayPerRequest + 1;
+    bool hasEnoughRequests = m_requests >= m_options.minimumRequests;
+    if (hasEnoughRequests && m_failures > m_options.maximumFailureFraction * m_requests)
+        exclude(now);
 }
 
 void EndpointHealth::onUnreachable(SteadyTime now)
 {
     if (++m_unreachable >= m_options.unreachableLimit)
-        rest(now);
+        exclude(now);
 }
 
 void EndpointHealth::onTurnedAway(SteadyTime now)
 {
-    m_restUntil = std::max(m_restUntil, now + m_nextPause);
+    m_excludedUntil = std::max(m_excludedUntil, now + m_nextPause);
     m_nextPause = std::min(m_nextPause * 2, m_options.longestPause);
 }
 
-void EndpointHealth::rest(SteadyTime now)
+void EndpointHealth::exclude(SteadyTime now)
 {
-    m_restUntil = now + m_nextRest;
-    m_nextRest = std::min(m_nextRest * 2, m_options.longestRest);
-    // After its rest one failure is enough to set it aside again.
-    m_requests = m_options.minimumEvidence - 1;
-    m_failures = m_options.failurePart * m_requests;
+    m_excludedUntil = now + m_nextExclusion;
+    m_nextExclusion = std::min(m_nextExclusion * 2, m_options.longestExclusion);
+    // After the exclusion a single failure is enough to exclude the endpoint again.
+    m_requests = m_options.minimumRequests - 1;
+    m_failures = m_options.maximumFailureFraction * m_requests;
     m_unreachable = m_options.unreachableLimit - 1;
 }
 
--- a/modules/balance/endpoint_health.h
+++ b/modules/balance/endpoint_health.h
@@ -1,4 +1,5 @@
-// Whether an endpoint is used, by what requests saw there: a pure state machine. Health checks take no part.
+// Decides from the results of requests whether an endpoint is used or excluded for a time. Pure state machine with the time passed in;
+// health checks are not an input.
 #pragma once
 
 #include "core/clock.h"
@@ -6,14 +7,14 @@
 namespace Onyxnotch {
 
 struct EndpointHealthOptions {
-    double failurePart { 0.3 }; // Of recent requests; above it the endpoint is set aside. Plain services fail up to 14% of their own accord.
-    double minimumEvidence { 3 }; // Requests, in the recent average, before that is judged.
-    double memoryPerRequest { 0.9 }; // How much an older request still counts when a newer one is seen.
-    unsigned unreachableLimit { 2 }; // Connections that failed in a row set it aside at once.
-    Milliseconds firstRest { 1000 }; // How long it is set aside, doubled each time, up to
-    Milliseconds longestRest { 8000 };
-    // One that turns requests away, and does not say for how long, answers sooner than any other and has nothing in flight: it would be
-    // chosen for the next request, too. It is left alone for so long, doubled each time, up to
+    double maximumFailureFraction { 0.3 }; // Above it the endpoint is excluded. Up to 14% of requests to plain services fail normally.
+    double minimumRequests { 3 }; // Decayed number of recent requests from which on the failure fraction is evaluated.
+    double decayPerRequest { 0.9 }; // Factor on the weight of all earlier requests at each new one.
+    unsigned unreachableLimit { 2 }; // Consecutive failed connections that exclude the endpoint.
+    Milliseconds firstExclusion { 1000 }; // Duration of the first exclusion; doubles each time up to `longestRest`.
+    Milliseconds longestExclusion { 8000 };
+    // An endpoint that refuses requests without a backoff time answers faster than any other and has nothing in flight, so it would be
+    // chosen for the next request too. It is paused for `firstPause`, doubled at each refusal up to `longestPause`.
     Milliseconds firstPause { 100 };
     Milliseconds longestPause { 1000 };
 };
@@ -23,24 +24,24 @@
     explicit EndpointHealth(const EndpointHealthOptions& options = {});
 
     void onSuccess();
-    // An answer that was broken, garbled, too late, or a failure of the endpoint's own.
+    // The answer was truncated, malformed or too late, or the endpoint reported a failure of its own.
     void onFailure(SteadyTime now);
     void onUnreachable(SteadyTime now);
-    // It did not run the request. No failure: nothing is judged by it.
+    // The endpoint refused the request without executing it. Does not count as a failure.
     void onTurnedAway(SteadyTime now);
-    bool isUsable(SteadyTime now) const { return now >= m_restUntil; }
+    bool isUsable(SteadyTime now) const { return now >= m_excludedUntil; }
     double failures() const { return m_requests > 0 ? m_failures / m_requests : 0; }
 
 private:
-    void rest(SteadyTime now);
+    void exclude(SteadyTime now);
 
     EndpointHealthOptions m_options;
     double m_requests { 0 };
     double m_failures { 0 };
     unsigned m_unreachable { 0 };
-    Milliseconds m_nextRest;
+    Milliseconds m_nextExclusion;
     Milliseconds m_nextPause;
-    SteadyTime m_restUntil {};
+    SteadyTime m_excludedUntil {};
 };
 
 } // namespace Onyxnotch
--- a/modules/balance/endpoint_rests.h
+++ b/modules/balance/endpoint_rests.h
@@ -1,5 +1,6 @@
-// Endpoints that turned this node away and asked it for rest, until when. Kept by life and apart from the list: an entry that lapses and
-// comes back ends no rest. Belongs to this node alone: the endpoint has said nothing to the others.
+// Backoffs that endpoints requested from this node when they refused a request (Retry-After), by endpoint incarnation. Stored apart from
+// the endpoint list, so that an endpoint which disappears from the list and returns is still in backoff. Not shared with other nodes,
+// because the endpoint requested the backoff from this node only.
 #pragma once
 
 #include "core/clock.h"
@@ -11,32 +12,32 @@
 
 class EndpointRests {
 public:
-    // Of several ends the latest holds.
+    // Starts a backoff of length `rest` for the endpoint. If one is already running, the later end applies.
     void ask(const EndpointLife& life, Milliseconds rest, SteadyTime now)
     {
-        std::erase_if(m_ends, [now](const auto& it) { return it.second <= now; });
+        std::erase_if(m_restEnds, [now](const auto& it) { return it.second <= now; });
         if (rest.count() <= 0)
             return;
-        auto& end = m_ends[life];
+        auto& end = m_restEnds[life];
         end = std::max(end, now + rest);
     }
 
     bool isResting(const EndpointLife& life, SteadyTime now) const { return endOf(life) > now; }
 
-    // Long ago where it does not rest.
+    // End of the endpoint's backoff; a default-constructed time if it has none.
     SteadyTime endOf(const EndpointLife& life) const
     {
-        auto it = m_ends.find(life);
-        return it == m_ends.end() ? SteadyTime {} : it->second;
+        auto it = m_restEnds.find(life);
+        return it == m_restEnds.end() ? SteadyTime {} : it->second;
     }
 
     std::size_t resting(SteadyTime now) const
     {
-        return static_cast<std::size_t>(std::count_if(m_ends.begin(), m_ends.end(), [now](const auto& it) { return it.second > now; }));
+        return static_cast<std::size_t>(std::count_if(m_restEnds.begin(), m_restEnds.end(), [now](const auto& it) { return it.second > now; }));
     }
 
 private:
-    std::map<EndpointLife, SteadyTime> m_ends {};
+    std::map<EndpointLife, SteadyTime> m_restEnds {};
 };
 
 } // namespace Onyxnotch
--- a/modules/balance/first_event_model.cpp
+++ b/modules/balance/first_event_model.cpp
@@ -10,7 +10,7 @@
 {
     auto fixed = options.initialFixedSeconds;
     add(0, fixed, options.initialWeight / 2);
-    add(options.initialSpreadTokens, fixed + options.initialSpreadTokens * options.initialSecondsPerToken, options.initialWeight / 2);
+    add(options.initialTokensDifference, fixed + options.initialTokensDifference * options.initialSecondsPerToken, options.initialWeight / 2);
     fit();
 }
 
@@ -20,8 +20,8 @@
         return;
     ++m_observations;
     for (auto* it : { &m_weight, &m_tokens, &m_seconds, &m_tokensSquared, &m_tokensSeconds })
-        *it *= m_options.memoryPerObservation;
-    add(tokens, std::min(seconds, m_options.longestTimes * this->seconds(tokens)), 1);
+        *it *= m_options.decayPerObservation;
+    add(tokens, std::min(seconds, m_options.outlierFactor * this->seconds(tokens)), 1);
     fit();
 }
 
@@ -36,12 +36,12 @@
 
 void FirstEventModel::fit()
 {
-    // Prompts that are all alike say nothing about a rate: the last one known stays.
-    constexpr double leastSpreadTokens = 100;
+    // Prompts of nearly equal length give no slope, so the last fitted `m_secondsPerToken` stays.
+    constexpr double minimumDeviationTokens = 100;
     auto meanTokens = m_tokens / m_weight;
     auto meanSeconds = m_seconds / m_weight;
     auto variance = m_tokensSquared / m_weight - meanTokens * meanTokens;
-    if (variance > leastSpreadTokens * leastSpreadTokens)
+    if (variance > minimumDeviationTokens * minimumDeviationTokens)
         m_secondsPerToken = std::max(0.0, (m_tokensSeconds / m_weight - meanTokens * meanSeconds) / variance);
     m_fixedSeconds = std::max(0.0, meanSeconds - m_secondsPerToken * meanTokens);
 }
--- a/modules/balance/first_event_model.h
+++ b/modules/balance/first_event_model.h
@@ -1,28 +1,29 @@
-// How long an endpoint that has nothing else waiting takes to a first event: a fixed time, and a time for each prompt token that is not
-// cached. Both are learnt apart, by least squares over recent requests.
+// Estimates the time to first event at an endpoint where no other prompt is waiting: a fixed time plus a time per uncached prompt token.
+// Both are fitted by least squares over recent requests, with older ones weighted down.
 #pragma once
 
 namespace Onyxnotch {
 
 struct FirstEventModelOptions {
-    // Until requests have told: a slow engine, so that the first estimate errs towards more endpoints.
+    // Assumed until requests were observed: a slow engine, so that the first estimate errs towards more endpoints.
     double initialFixedSeconds { 0.02 };
     double initialSecondsPerToken { 1.0 / 40000 };
-    double initialSpreadTokens { 10000 }; // The assumed observations lie this far apart.
-    double initialWeight { 4 }; // Observations that the assumption counts for.
-    double memoryPerObservation { 0.98 }; // How much an older observation still counts: some fifty are in force.
-    unsigned trustedAfter { 20 }; // Observations: by then what was assumed counts for a sixth.
-    double longestTimes { 2 }; // A time above this multiple of the expected one counts as this multiple: it was not the prompt that took it.
+    double initialTokensDifference { 10000 }; // Prompt-length difference of the two assumed observations.
+    double initialWeight { 4 }; // Weight of the assumed values, in observations.
+    double decayPerObservation { 0.98 }; // Factor on the weight of all earlier observations at each new one: about fifty are effective.
+    unsigned trustedAfter { 20 }; // Observations; from then on the assumed values contribute at most a sixth of the weight.
+    double outlierFactor { 2 }; // Cap of observed times, as a multiple of the estimate; longer ones are not due to the prompt.
 };
 
 class FirstEventModel {
 public:
     explicit FirstEventModel(const FirstEventModelOptions& options = {});
 
-    // A request with so many uncached tokens, which found nothing waiting, had its first event after `seconds`.
+    // Adds an observation: a request with `tokens` uncached tokens, which found no other prompt waiting, had its first event after
+    // `seconds`.
     void observe(double tokens, double seconds);
 
-    // It tells what was seen, and not what was assumed.
+    // Whether the estimate is based mainly on observations rather than on the assumed initial values.
     bool isTrusted() const { return m_observations >= m_options.trustedAfter; }
     double fixedSeconds() const { return m_fixedSeconds; }
     double secondsPerToken() const { return m_secondsPerToken; }
--- a/modules/balance/prefix_cache.cpp
+++ b/modules/balance/prefix_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    constexpr std::size_t maximumEntries = 4096; // Bounds the memory for one endpoint to some 400 KB.
+    constexpr std::size_t maximumEntries = 4096; // Limits the memory used for one endpoint to about 400 KB.
 
 } // namespace
 
@@ -28,23 +28,24 @@
     return hashes;
 }
 
-double PrefixCache::keptTokens(const std::vector<PromptPart>& parts) const
+double PrefixCache::cachedTokens(const std::vector<PromptPart>& parts) const
 {
-    double kept = 0;
+    double cached = 0;
     std::uint64_t chain = 0;
     for (const auto& it : parts) {
         chain = mixHash(chain, it.id);
         if (!m_index.contains(chain))
             break;
-        kept += it.tokens;
+        cached += it.tokens;
     }
-    return kept;
+    return cached;
 }
 
 void PrefixCache::touch(const std::vector<PromptPart>& parts, double capacityTokens)
 {
     auto chains = chainHashes(parts);
-    // The first parts are put last, so that a prompt's later parts give way before those that more prompts share.
+    // The prompt's first parts are moved to the front of the LRU list last, so that its later parts are evicted before the first ones,
+    // which more prompts share.
     for (auto n = parts.size(); n-- > 0;) {
         auto found = m_index.find(chains[n]);
         if (found != m_index.end()) {
--- a/modules/balance/prefix_cache.h
+++ b/modules/balance/prefix_cache.h
@@ -1,4 +1,4 @@
-// Which parts of prompts an endpoint is expected to keep in its prefix memory: least recently used parts give way.
+// Model of an endpoint's prefix cache: which prompt parts it is expected to have cached, with least-recently-used eviction.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace Onyxnotch {
 
-// One part of a prompt. Parts with the same id hold the same tokens.
+// One part of a prompt. Parts with the same id consist of the same tokens.
 struct PromptPart {
     std::uint64_t id { 0 };
     double tokens { 0 };
@@ -18,9 +18,9 @@
 
 class PrefixCache {
 public:
-    // Tokens of the prompt that need no prefill: the parts from the first on, up to the first one that is not kept.
-    double keptTokens(const std::vector<PromptPart>&) const;
-    // The parts were read there now.
+    // Prompt tokens that need no prefill: those of the leading parts, up to the first part that is not cached.
+    double cachedTokens(const std::vector<PromptPart>&) const;
+    // Records that the endpoint reads these parts now, and evicts the least recently used parts beyond `capacityTokens`.
     void touch(const std::vector<PromptPart>&, double capacityTokens);
     void clear();
 
@@ -31,11 +31,11 @@
     };
 
     double m_tokens { 0 };
-    std::list<Entry> m_entries {}; // Most recent first.
+    std::list<Entry> m_entries {}; // Most recently used first.
     std::unordered_map<std::uint64_t, std::list<Entry>::iterator> m_index {};
 };
 
-// A hash of each prefix of the parts: a part counts as kept only behind the same parts.
+// Hash of each prefix of the parts. Identifies a part together with all parts before it, as a part is reusable only after the same parts.
 std::vector<std::uint64_t> chainHashes(const std::vector<PromptPart>&);
 std::uint64_t mixHash(std::uint64_t left, std::uint64_t right);
 
--- a/modules/balance/slot_time_model.h
+++ b/modules/balance/slot_time_model.h
@@ -1,10 +1,10 @@
-// How long a request of a service holds a slot of its endpoint, as learnt from requests that ended: an average that fades.
+// Estimates how long a request of one service occupies a slot of its endpoint: exponentially weighted average over ended requests.
 #pragma once
 
 namespace Onyxnotch {
 
 struct SlotTimeModelOptions {
-    double memoryPerObservation { 0.98 }; // How much an older observation still counts: some fifty are in force.
+    double decayPerObservation { 0.98 }; // Factor on the weight of all earlier observations at each new one: about fifty are effective.
 };
 
 class SlotTimeModel {
@@ -12,7 +12,7 @@
     explicit SlotTimeModel(const SlotTimeModelOptions& options = {});
 
     void observe(double seconds);
-    // 0 until something has been seen.
+    // Average time in seconds; 0 before the first observation.
     double seconds() const;
 
 private:
--- a/tests/modules/balance/test_endpoint_book.cpp
+++ b/tests/modules/balance/test_endpoint_book.cpp
@@ -6,9 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(EndpointBooks)
 
-// Found by trials on the bench: a node that had just started refused by times that it only assumed; and where there were too few
-// endpoints from the start, nothing was ever seen unqueued, nobody was refused, and everything stayed late.
-BOOST_AUTO_TEST_CASE(times_are_trusted_when_they_were_seen_or_nothing_can_be_seen)
+// Guards against two faults: a node that had just started refused requests by assumed times; and with too few endpoints from the start, no
+// request ever found an endpoint without a queue, so no times were learnt, no request was refused and all stayed late.
+BOOST_AUTO_TEST_CASE(times_are_trusted_after_20_observations_or_2_seconds)
 {
     SteadyTime start { std::chrono::hours(1) };
     EndpointBook book("z");
@@ -43,8 +43,8 @@
 
 } // namespace
 
-// Before, an endpoint that had left once was never used again under its id.
-BOOST_AUTO_TEST_CASE(a_mark_of_a_life_does_not_bar_the_next_one)
+// Guards against never using an endpoint id again after one of its incarnations was marked as leaving.
+BOOST_AUTO_TEST_CASE(a_leaving_mark_does_not_exclude_the_next_incarnation)
 {
     EndpointBook book("z");
     auto configuration = oneService();
@@ -52,14 +52,14 @@
     BOOST_TEST(!book.choose({ .service = "s" }, start).has_value());
     book.update(listOf({ endpoint(9) }), configuration, start + Milliseconds(10));
     BOOST_TEST(book.choose({ .service = "s" }, start).has_value());
-    // Late news of the old life, by another node.
+    // A late mark of the previous incarnation, received from another node.
     book.markLeaving({ .id = "i", .born = 5 }, start + Milliseconds(20));
     BOOST_TEST(book.choose({ .service = "s" }, start).has_value());
     book.markLeaving({ .id = "i", .born = 9 }, start + Milliseconds(30));
     BOOST_TEST(!book.choose({ .service = "s" }, start).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_restart_under_the_same_id_knows_nothing_of_before)
+BOOST_AUTO_TEST_CASE(a_restart_under_the_same_id_starts_with_empty_state)
 {
     EndpointBook book("z");
     auto configuration = oneService();
@@ -74,16 +74,16 @@
     book.update(listOf({ endpoint(9) }), configuration, start + Milliseconds(10));
     auto after = book.choose(request, start + Milliseconds(10));
     BOOST_REQUIRE(after.has_value());
-    BOOST_TEST(after->endpoint->prefixes.keptTokens(request.parts) == 0);
+    BOOST_TEST(after->endpoint->prefixes.cachedTokens(request.parts) == 0);
     BOOST_TEST(after->endpoint->inFlight == 0U);
     BOOST_TEST(after->endpoint->peersInFlight == 0);
     BOOST_TEST(after->endpoint->health.isUsable(start + Milliseconds(10)));
-    // Loads that others told of the old life are not the new one's.
+    // Loads that other nodes reported for the previous incarnation do not count for the new one.
     book.setPeerLoads({ { { .id = "i", .born = 5 }, { .endpoint = { .id = "i", .born = 5 }, .inFlight = 3, .waitingTokens = 900 } } }, start + Milliseconds(20));
     BOOST_TEST(after->endpoint->peersInFlight == 0);
 }
 
-BOOST_AUTO_TEST_CASE(connections_are_not_kept_to_another_address)
+BOOST_AUTO_TEST_CASE(connections_are_dropped_when_the_address_changes)
 {
     EndpointBook book("z");
     auto configuration = oneService();
@@ -93,34 +93,34 @@
     BOOST_TEST(book.choose({ .service = "s" }, start)->endpoint != before);
 }
 
-// In a fleet with relays, each told on what it had heard: 27 KB in each row while 1,300 endpoints left.
-BOOST_AUTO_TEST_CASE(a_node_tells_the_newest_marks_that_it_found_itself)
+// Guards against nodes of a fleet with relay nodes repeating received marks: each row had 27 KB of them while 1,300 endpoints left.
+BOOST_AUTO_TEST_CASE(own_leaving_marks_are_the_newest_that_the_node_found_itself)
 {
     EndpointBook book("z");
     book.markLeaving({ .id = "heard", .born = 1 }, start);
     for (int n = 0; n < 200; ++n)
         book.foundLeaving({ .id = "found" + std::to_string(n), .born = 1 }, start + Milliseconds(n));
-    auto told = book.ownLeavingMarks(start + Milliseconds(300), 64);
-    BOOST_TEST(told.size() == 64U);
-    BOOST_TEST(told.front().id == "found199");
+    auto marks = book.ownLeavingMarks(start + Milliseconds(300), 64);
+    BOOST_TEST(marks.size() == 64U);
+    BOOST_TEST(marks.front().id == "found199");
     BOOST_TEST(book.recentLeavingMarks(start + Milliseconds(300)).size() == 201U);
     BOOST_TEST(book.ownLeavingMarks(start + Milliseconds(6000), 64).empty());
 }
 
-// Found while the store was away: marks were told for five seconds, and a node that started later took the list, which did not have them,
-// from its peers.
-BOOST_AUTO_TEST_CASE(marks_that_the_list_does_not_tell_are_told_again_to_a_node_that_starts)
+// Guards against a fault seen while the store was unreachable: marks were sent for five seconds only, and a node that started later got the
+// list, which did not show them, from its peers.
+BOOST_AUTO_TEST_CASE(marks_missing_in_the_list_are_sent_again_to_a_node_that_starts)
 {
     EndpointBook book("z");
     auto listed = endpoint(5);
     auto gone = endpoint(5);
     gone.id = "gone";
-    auto told = endpoint(5, true);
-    told.id = "told";
-    book.update(listOf({ listed, gone, told }), oneService(), start);
+    auto markedInList = endpoint(5, true);
+    markedInList.id = "told";
+    book.update(listOf({ listed, gone, markedInList }), oneService(), start);
     book.foundLeaving(listed.life(), start);
     book.markLeaving(gone.life(), start);
-    book.update(listOf({ listed, told }), oneService(), start + Milliseconds(10));
+    book.update(listOf({ listed, markedInList }), oneService(), start + Milliseconds(10));
     auto later = start + Milliseconds(10000);
     BOOST_TEST(book.recentLeavingMarks(later).empty());
     BOOST_TEST((book.unlistedLeavingMarks() == std::vector { listed.life() }));
@@ -130,8 +130,8 @@
     BOOST_TEST(book.recentLeavingMarks(later + Milliseconds(6000)).empty());
 }
 
-// An endpoint that is set aside for its failures is used where there is no other; one that asked for rest is not.
-BOOST_AUTO_TEST_CASE(an_endpoint_that_asked_for_rest_is_never_the_last_resort)
+// An endpoint that is excluded for failures is used if there is no other; one that requested a backoff is not.
+BOOST_AUTO_TEST_CASE(an_endpoint_in_requested_backoff_is_not_chosen_even_as_the_last_one)
 {
     EndpointBook book("z");
     auto first = endpoint(5);
@@ -145,19 +145,19 @@
     book.askedRest(second.life(), Milliseconds(2000), start);
     BOOST_TEST(!book.choose(request, start).has_value());
     BOOST_TEST((book.firstBack(request, start) == start + Milliseconds(2000)));
-    // Over a lapse of its entry, too.
+    // The backoff also stays when the endpoint disappears from the list and returns.
     book.update(listOf({ first }), oneService(), start + Milliseconds(100));
     book.update(listOf({ first, second }), oneService(), start + Milliseconds(200));
     BOOST_TEST(!book.choose(request, start + Milliseconds(1999)).has_value());
     BOOST_TEST(!book.mayStillSend(second.life(), start + Milliseconds(1999)));
     BOOST_TEST(book.choose(request, start + Milliseconds(2000))->endpoint->listed.id == "j");
-    // One that leaves comes back for nobody.
+    // A leaving endpoint does not count for firstBack().
     book.foundLeaving(second.life(), start + Milliseconds(2000));
     BOOST_TEST((book.firstBack(request, start + Milliseconds(2000)) == start + Milliseconds(3000)));
 }
 
-// A mark was kept for ever, by id: months of reclaims would have filled the memory.
-BOOST_AUTO_TEST_CASE(marks_of_endpoints_that_have_gone_are_forgotten)
+// Guards against keeping marks for ever, which would have filled the memory over months of reclaimed instances.
+BOOST_AUTO_TEST_CASE(marks_of_endpoints_that_left_the_list_expire)
 {
     EndpointBook book("z");
     auto configuration = oneService();
--- a/tests/modules/balance/test_endpoint_health.cpp
+++ b/tests/modules/balance/test_endpoint_health.cpp
@@ -12,8 +12,9 @@
 
 BOOST_AUTO_TEST_SUITE(EndpointHealthTests)
 
-// An endpoint that turned requests away without a time, within a millisecond, was the least busy one and got the next request, too.
-BOOST_AUTO_TEST_CASE(an_endpoint_that_turns_requests_away_is_left_alone_for_a_while)
+// Guards against choosing an endpoint again at once that refused a request within a millisecond, without a backoff time, and therefore
+// looked like the least busy one.
+BOOST_AUTO_TEST_CASE(an_endpoint_that_refuses_requests_is_paused)
 {
     EndpointHealth health({ .firstPause = Milliseconds(100), .longestPause = Milliseconds(300) });
     auto now = start;
--- a/tests/modules/balance/test_first_event_model.cpp
+++ b/tests/modules/balance/test_first_event_model.cpp
@@ -8,9 +8,9 @@
 
 BOOST_AUTO_TEST_SUITE(FirstEventModelTests)
 
-BOOST_AUTO_TEST_CASE(both_parts_are_learnt_within_a_tenth)
+BOOST_AUTO_TEST_CASE(fixed_time_and_rate_are_learnt_within_a_tenth)
 {
-    bool held = rc::check("fixed time and rate of any engine", [] {
+    bool passed = rc::check("fixed time and rate of any engine", [] {
         auto fixed = *rc::gen::inRange(5, 100) / 1000.0;
         auto perToken = 1.0 / *rc::gen::inRange(5000, 200000);
         std::mt19937 random(*rc::gen::arbitrary<unsigned>());
@@ -24,10 +24,10 @@
         RC_ASSERT(std::abs(model.secondsPerToken() / perToken - 1) < 0.1);
         RC_ASSERT(std::abs(model.seconds(6000) / (fixed + 6000 * perToken) - 1) < 0.1);
     });
-    BOOST_TEST(held);
+    BOOST_TEST(passed);
 }
 
-BOOST_AUTO_TEST_CASE(one_that_took_long_changes_little)
+BOOST_AUTO_TEST_CASE(a_single_outlier_changes_the_estimate_little)
 {
     FirstEventModel model;
     for (int n = 0; n < 200; ++n)
@@ -37,7 +37,7 @@
     BOOST_TEST(model.seconds(5000) < before * 1.1);
 }
 
-BOOST_AUTO_TEST_CASE(prompts_that_are_all_alike_keep_the_rate)
+BOOST_AUTO_TEST_CASE(prompts_of_equal_length_do_not_change_the_rate)
 {
     FirstEventModel model({ .initialSecondsPerToken = 0.0001, .initialWeight = 0.001 });
     for (int n = 0; n < 500; ++n)
@@ -46,7 +46,7 @@
     BOOST_TEST(std::abs(model.seconds(1000) - 0.2) < 0.02);
 }
 
-BOOST_AUTO_TEST_CASE(it_is_trusted_when_what_was_seen_outweighs_what_was_assumed)
+BOOST_AUTO_TEST_CASE(the_model_is_trusted_after_20_observations)
 {
     FirstEventModel model;
     unsigned observations = 0;
