--- a/modules/peers/fleet_relay.cpp
+++ b/modules/peers/fleet_relay.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-    constexpr std::size_t keptOwnRows = 16; // Four seconds of them, 1.6 s after the start: an older one is in no sum that counts.
+    constexpr std::size_t maximumOwnRows = 16; // Four seconds of rows, 1.6 s after the start; no usable aggregate has an older one.
 
     std::int64_t steadyMilliseconds(SteadyTime now) { return std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count(); }
 
-    // Of lives of endpoints; the first ones, each row's newest, stay.
-    void keepDifferent(std::vector<EndpointLife>& lives, std::size_t most)
+    // Removes duplicate endpoint incarnations, then all after the first `most`; each row lists its newest first.
+    void keepDistinct(std::vector<EndpointLife>& lives, std::size_t most)
     {
         std::set<EndpointLife> seen;
         std::erase_if(lives, [&](const auto& it) { return !seen.insert(it).second; });
@@ -36,8 +36,8 @@
 bool FleetRelay::isNeeded(unsigned listed) const
 {
     auto known = std::max<std::size_t>(listed, m_table.contacts().size() + 1);
-    for (const auto& [relay, heard] : m_fleetSums)
-        known = std::max<std::size_t>(known, heard.sum.nodes);
+    for (const auto& [relay, received] : m_fleetAggregates)
+        known = std::max<std::size_t>(known, received.sum.nodes);
     return known > m_options.everyNodeUpTo;
 }
 
@@ -48,10 +48,10 @@
     m_self = row.contact();
     auto contacts = m_table.contactsIn(m_options.zone);
     contacts.push_back(m_self);
-    m_chosen = m_choice.choose(contacts, m_options.node, now);
-    m_zoneTotals.hear(row.node, row.lifetime, Milliseconds(0), row.teamTotals, now);
+    m_ownZoneRelays = m_choice.choose(contacts, m_options.node, now);
+    m_zoneTotals.update(row.node, row.lifetime, Milliseconds(0), row.teamTotals, now);
     m_ownRows.push_back({ .sequence = row.sequence, .teamTotals = row.teamTotals, .loads = row.loads, .trials = row.versions.trials });
-    if (m_ownRows.size() > keptOwnRows)
+    if (m_ownRows.size() > maximumOwnRows)
         m_ownRows.pop_front();
 }
 
@@ -61,14 +61,14 @@
         return;
     m_members[row.node] = now;
     auto age = Milliseconds(row.ageMilliseconds);
-    m_zoneTotals.hear(row.node, row.lifetime, age, row.teamTotals, now);
-    m_otherTotals.hear(row.node, row.lifetime, age, row.teamTotals, now);
+    m_zoneTotals.update(row.node, row.lifetime, age, row.teamTotals, now);
+    m_otherTotals.update(row.node, row.lifetime, age, row.teamTotals, now);
 }
 
-// False for a sum that is no newer than the one known of that relay.
-bool FleetRelay::hear(std::map<std::string, HeardSum>& tellers, const GroupSum& sum, SteadyTime now)
+// Returns false for an aggregate that is not newer than the stored one of the same relay node.
+bool FleetRelay::storeIfNewer(std::map<std::string, ReceivedAggregate>& aggregatesByRelay, const GroupSum& sum, SteadyTime now)
 {
-    auto [it, added] = tellers.try_emplace(sum.relay.node);
+    auto [it, added] = aggregatesByRelay.try_emplace(sum.relay.node);
     auto& known = it->second;
     bool older = !added && (sum.relay.lifetime < known.sum.relay.lifetime || (sum.relay.lifetime == known.sum.relay.lifetime && sum.sequence <= known.sum.sequence));
     if (older)
@@ -76,29 +76,29 @@
     known.sum = sum;
     known.heardAt = now;
     known.clockDifference = static_cast<std::int64_t>(sum.trueMilliseconds) - steadyMilliseconds(now);
-    learnContacts(sum, now);
+    refreshContacts(sum, now);
     return true;
 }
 
-void FleetRelay::learnContacts(const GroupSum& sum, SteadyTime now)
+void FleetRelay::refreshContacts(const GroupSum& sum, SteadyTime now)
 {
     m_table.refreshContact(sum.relay, now);
     for (const auto& it : sum.contacts)
         m_table.refreshContact(it, now);
 }
 
-void FleetRelay::onZoneSum(const GroupSum& sum, SteadyTime now)
+void FleetRelay::onZoneAggregate(const GroupSum& sum, SteadyTime now)
 {
     if (sum.relay.zone.empty() || sum.relay.zone == m_options.zone)
         return;
-    auto& zone = m_zones[sum.relay.zone];
-    if (!hear(zone.tellers, sum, now))
+    auto& zone = m_remoteZones[sum.relay.zone];
+    if (!storeIfNewer(zone.aggregatesByRelay, sum, now))
         return;
-    zone.teamTotals.hear(sum.relay.node, sum.relay.lifetime, false, sum.teamTotals);
+    zone.teamTotals.update(sum.relay.node, sum.relay.lifetime, false, sum.teamTotals);
     zone.choice.onAnswer(sum.relay.node, now);
 }
 
-const FleetRelay::OwnRow* FleetRelay::ownRowOf(const GroupSum& sum) const
+const FleetRelay::OwnRow* FleetRelay::includedOwnRow(const GroupSum& sum) const
 {
     auto counted = sum.counted.find(shortNameOf(m_options.node));
     if (counted == sum.counted.end())
@@ -107,25 +107,25 @@
     return it == m_ownRows.end() ? nullptr : &*it;
 }
 
-void FleetRelay::onFleetSum(const GroupSum& sum, SteadyTime now)
+void FleetRelay::onFleetAggregate(const GroupSum& sum, SteadyTime now)
 {
     if (sum.relay.zone != m_options.zone || sum.relay.node == m_options.node)
         return;
-    if (!hear(m_fleetSums, sum, now))
+    if (!storeIfNewer(m_fleetAggregates, sum, now))
         return;
     m_choice.onAnswer(sum.relay.node, now);
-    auto& known = m_fleetSums[sum.relay.node];
-    bool counts = ownRowOf(sum) != nullptr;
-    // From here on its totals hold this node's too, or no more: they cannot be compared with those before.
-    bool alignAnew = counts != known.countedThisNode;
-    known.countedThisNode = counts;
-    m_fleetTotals.hear(sum.relay.node, sum.relay.lifetime, alignAnew, withoutOwn(sum).teamTotals);
-    m_totalsHeardAt = now;
+    auto& known = m_fleetAggregates[sum.relay.node];
+    bool isIncluded = includedOwnRow(sum) != nullptr;
+    // If this node's row was included before but is not now, or the reverse, the totals cannot be compared with the previous ones.
+    bool realign = isIncluded != known.isThisNodeIncluded;
+    known.isThisNodeIncluded = isIncluded;
+    m_fleetTotals.update(sum.relay.node, sum.relay.lifetime, realign, withoutOwnRow(sum).teamTotals);
+    m_totalsReceivedAt = now;
 }
 
-GroupSum FleetRelay::withoutOwn(GroupSum sum) const
+GroupSum FleetRelay::withoutOwnRow(GroupSum sum) const
 {
-    const auto* own = ownRowOf(sum);
+    const auto* own = includedOwnRow(sum);
     if (!own)
         return sum;
     sum.nodes -= std::min(sum.nodes, 1U);
@@ -140,7 +140,7 @@
     std::erase_if(sum.dutyHolders, [&](const auto& it) { return it.node == m_options.node; });
     std::erase_if(sum.formerHolders, [&](const auto& it) { return it.node == m_options.node; });
     std::erase_if(sum.watchers, [&](const auto& it) { return it.node == m_options.node; });
-    // The candidate after this one is not told; that this one comes first is all that matters.
+    // The next candidate is not in the aggregate; it is enough to know that this node is the first one.
     if (sum.firstCandidate == m_options.node)
         sum.firstCandidate.clear();
     return sum;
@@ -149,7 +149,7 @@
 std::vector<Address> FleetRelay::rowReceivers() const
 {
     std::vector<Address> addresses;
-    for (const auto& it : m_chosen) {
+    for (const auto& it : m_ownZoneRelays) {
         if (it.node != m_options.node)
             addresses.push_back(it.gossipAddress);
     }
@@ -159,7 +159,7 @@
 bool FleetRelay::isRelay(SteadyTime now)
 {
     std::erase_if(m_members, [&](const auto& it) { return now - it.second > m_options.freshFor; });
-    bool chosen = std::any_of(m_chosen.begin(), m_chosen.end(), [&](const auto& it) { return it.node == m_options.node; });
+    bool chosen = std::any_of(m_ownZoneRelays.begin(), m_ownZoneRelays.end(), [&](const auto& it) { return it.node == m_options.node; });
     return chosen || !m_members.empty();
 }
 
@@ -170,11 +170,11 @@
     return rows;
 }
 
-GroupSum FleetRelay::zoneSum(SteadyTime now, bool withOwn)
+GroupSum FleetRelay::zoneAggregate(SteadyTime now, bool includeOwnRow)
 {
     GroupSum sum { .relay = m_self };
     auto rows = freshRows(now);
-    if (withOwn)
+    if (includeOwnRow)
         rows.push_back(&m_ownRow);
     for (const auto* row : rows) {
         addRow(sum, *row, m_options.zone);
@@ -183,79 +183,79 @@
             sum.watchers.push_back({ .zone = row->zone, .node = row->node });
     }
     std::sort(sum.watchers.begin(), sum.watchers.end());
-    if (sum.watchers.size() > m_options.watchersTold)
-        sum.watchers.resize(m_options.watchersTold);
+    if (sum.watchers.size() > m_options.watchersPerAggregate)
+        sum.watchers.resize(m_options.watchersPerAggregate);
     sum.silentNodes = m_table.silentIn(m_options.zone, m_options.silentFor, now);
-    sum.teamTotals = (withOwn ? m_zoneTotals : m_otherTotals).totals();
+    sum.teamTotals = (includeOwnRow ? m_zoneTotals : m_otherTotals).totals();
     limitNews(sum.suspects);
     return sum;
 }
 
-// One that was cut off, or whose relays were lost, may be on its way with the same nodes as before.
-const FleetRelay::HeardSum* FleetRelay::bestOf(const std::map<std::string, HeardSum>& tellers, SteadyTime now) const
+// Returns the fresh aggregate with the most nodes, as a relay node that was cut off or has just started may have an incomplete one.
+const FleetRelay::ReceivedAggregate* FleetRelay::mostCompleteOf(const std::map<std::string, ReceivedAggregate>& aggregatesByRelay, SteadyTime now) const
 {
-    const HeardSum* best = nullptr;
-    for (const auto& [relay, heard] : tellers) {
-        bool fresh = now - heard.heardAt <= m_options.freshFor;
-        if (fresh && (!best || heard.sum.nodes > best->sum.nodes))
-            best = &heard;
+    const ReceivedAggregate* best = nullptr;
+    for (const auto& [relay, received] : aggregatesByRelay) {
+        bool fresh = now - received.heardAt <= m_options.freshFor;
+        if (fresh && (!best || received.sum.nodes > best->sum.nodes))
+            best = &received;
     }
     return best;
 }
 
-GroupSum FleetRelay::wholeSum(SteadyTime now, bool withOwn)
+GroupSum FleetRelay::fleetAggregate(SteadyTime now, bool includeOwnRow)
 {
-    auto sum = zoneSum(now, withOwn);
-    for (auto& [name, zone] : m_zones) {
+    auto sum = zoneAggregate(now, includeOwnRow);
+    for (auto& [name, zone] : m_remoteZones) {
         std::uint32_t silent = 0;
-        for (const auto& [relay, heard] : zone.tellers)
-            silent = std::max(silent, heard.sum.nodes);
-        std::erase_if(zone.tellers, [&](const auto& it) { return now - it.second.heardAt > m_options.silentFor; });
-        if (const auto* best = bestOf(zone.tellers, now))
+        for (const auto& [relay, received] : zone.aggregatesByRelay)
+            silent = std::max(silent, received.sum.nodes);
+        std::erase_if(zone.aggregatesByRelay, [&](const auto& it) { return now - it.second.heardAt > m_options.silentFor; });
+        if (const auto* best = mostCompleteOf(zone.aggregatesByRelay, now))
             addGroup(sum, best->sum, m_options.zone);
-        else if (!zone.tellers.empty())
+        else if (!zone.aggregatesByRelay.empty())
             sum.silentNodes += silent;
         for (const auto& [team, total] : zone.teamTotals.totals())
             sum.teamTotals[team] += total;
     }
-    keepDifferent(sum.leavingEndpoints, m_options.leavingTold);
+    keepDistinct(sum.leavingEndpoints, m_options.leavingMarksPerAggregate);
     limitNews(sum.suspects);
     return sum;
 }
 
 void FleetRelay::addContacts(GroupSum& sum, SteadyTime now)
 {
-    sum.contacts = m_chosen;
+    sum.contacts = m_ownZoneRelays;
     auto rows = m_table.alive(now);
     std::shuffle(rows.begin(), rows.end(), m_random);
     for (const auto* it : rows) {
-        if (sum.contacts.size() >= m_options.choice.relays + m_options.contactsPerSum)
+        if (sum.contacts.size() >= m_options.choice.relays + m_options.contactsPerAggregate)
             break;
         sum.contacts.push_back(it->contact());
     }
-    // A node that becomes a relay has to know some of the other zones.
-    for (const auto& [name, zone] : m_zones) {
-        if (const auto* best = bestOf(zone.tellers, now))
+    // Relay nodes of the other zones, for a node that becomes a relay node.
+    for (const auto& [name, zone] : m_remoteZones) {
+        if (const auto* best = mostCompleteOf(zone.aggregatesByRelay, now))
             sum.contacts.push_back(best->sum.relay);
     }
 }
 
-void FleetRelay::finish(GroupSum& sum, SteadyTime now)
+void FleetRelay::setCommonFields(GroupSum& sum, SteadyTime now)
 {
     sum.sequence = ++m_sequence;
     sum.trueMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds(now) + clockDifference(m_ownClockDifference, now));
     addContacts(sum, now);
 }
 
-FleetRelay::Telling FleetRelay::zoneTelling(SteadyTime now)
+FleetRelay::AddressedAggregate FleetRelay::zoneTelling(SteadyTime now)
 {
-    Telling telling { .sum = zoneSum(now, true) };
-    telling.sum.counted.clear();
-    finish(telling.sum, now);
-    keepDifferent(telling.sum.leavingEndpoints, m_options.leavingTold);
-    keepHeaviest(telling.sum.loads, m_options.loadsTold);
-    telling.receivers = otherZonesReceivers(now);
-    return telling;
+    AddressedAggregate outgoing { .sum = zoneAggregate(now, true) };
+    outgoing.sum.counted.clear();
+    setCommonFields(outgoing.sum, now);
+    keepDistinct(outgoing.sum.leavingEndpoints, m_options.leavingMarksPerAggregate);
+    keepHeaviest(outgoing.sum.loads, m_options.loadsPerAggregate);
+    outgoing.receivers = otherZonesReceivers(now);
+    return outgoing;
 }
 
 std::vector<Address> FleetRelay::otherZonesReceivers(SteadyTime now)
@@ -264,14 +264,14 @@
     for (const auto& [name, contacts] : m_table.contactsByZone()) {
         if (name == m_options.zone)
             continue;
-        auto& zone = m_zones[name];
+        auto& zone = m_remoteZones[name];
         std::vector<Address> receivers;
         for (const auto& it : zone.choice.choose(contacts, {}, now))
             receivers.push_back(it.gossipAddress);
-        // Those that take this node for a relay want its answer, whatever it takes them for.
-        for (const auto& [relay, heard] : zone.tellers) {
-            if (now - heard.heardAt <= m_options.freshFor)
-                receivers.push_back(heard.sum.relay.gossipAddress);
+        // Also send to relay nodes that send to this one, as they expect its aggregates, even if this node did not choose them.
+        for (const auto& [relay, received] : zone.aggregatesByRelay) {
+            if (now - received.heardAt <= m_options.freshFor)
+                receivers.push_back(received.sum.relay.gossipAddress);
         }
         std::sort(receivers.begin(), receivers.end());
         receivers.erase(std::unique(receivers.begin(), receivers.end()), receivers.end());
@@ -310,62 +310,63 @@
     return receivers;
 }
 
-FleetRelay::Telling FleetRelay::fleetTelling(SteadyTime now)
+FleetRelay::AddressedAggregate FleetRelay::fleetTelling(SteadyTime now)
 {
-    Telling telling { .sum = wholeSum(now, true) };
-    // The nodes of a zone fetch documents from its relays, which fetch them first: else all nodes of a fleet ask the one that knew first.
-    telling.sum.endpoints = { .version = m_ownRow.endpointsRevision, .address = m_ownRow.controlAddress, .zone = m_options.zone };
-    telling.sum.configuration = { .version = m_ownRow.configurationVersion, .address = m_ownRow.controlAddress, .zone = m_options.zone };
-    keepHeaviest(telling.sum.loads, m_options.loadsTold);
-    finish(telling.sum, now);
-    addMembers(telling.receivers, now);
-    return telling;
+    AddressedAggregate outgoing { .sum = fleetAggregate(now, true) };
+    // Nodes of a zone fetch documents from its relay nodes, which fetch them first. Otherwise all nodes of the fleet would fetch them from
+    // the one node that had them first.
+    outgoing.sum.endpoints = { .version = m_ownRow.endpointsRevision, .address = m_ownRow.controlAddress, .zone = m_options.zone };
+    outgoing.sum.configuration = { .version = m_ownRow.configurationVersion, .address = m_ownRow.controlAddress, .zone = m_options.zone };
+    keepHeaviest(outgoing.sum.loads, m_options.loadsPerAggregate);
+    setCommonFields(outgoing.sum, now);
+    addMembers(outgoing.receivers, now);
+    return outgoing;
 }
 
 std::optional<FleetRelay::Others> FleetRelay::others(SteadyTime now)
 {
     std::optional<GroupSum> sum;
     if (isRelay(now)) {
-        auto own = wholeSum(now, false);
+        auto own = fleetAggregate(now, false);
         if (own.nodes > 0) {
-            m_fleetTotals.hear(m_options.node, m_ownRow.lifetime, false, own.teamTotals);
-            m_totalsHeardAt = now;
+            m_fleetTotals.update(m_options.node, m_ownRow.lifetime, false, own.teamTotals);
+            m_totalsReceivedAt = now;
             sum = std::move(own);
         }
     }
-    if (const auto* best = bestOf(m_fleetSums, now)) {
-        auto heard = withoutOwn(best->sum);
-        if (!sum || heard.nodes > sum->nodes)
-            sum = std::move(heard);
+    if (const auto* best = mostCompleteOf(m_fleetAggregates, now)) {
+        auto received = withoutOwnRow(best->sum);
+        if (!sum || received.nodes > sum->nodes)
+            sum = std::move(received);
     }
     if (!sum)
         return std::nullopt;
-    for (const auto& [relay, heard] : m_fleetSums) {
-        if (now - heard.heardAt > m_options.freshFor)
+    for (const auto& [relay, received] : m_fleetAggregates) {
+        if (now - received.heardAt > m_options.freshFor)
             continue;
-        takeNewer(sum->endpoints, heard.sum.endpoints, m_options.zone);
-        takeNewer(sum->configuration, heard.sum.configuration, m_options.zone);
+        takeNewer(sum->endpoints, received.sum.endpoints, m_options.zone);
+        takeNewer(sum->configuration, received.sum.configuration, m_options.zone);
     }
-    // A node that has just become a relay does not know the zones that it has not heard yet.
-    auto most = m_recentNodes.take(sum->nodes, now, m_options.silentFor);
-    sum->silentNodes = std::max(sum->silentNodes, most - sum->nodes);
+    // A node that has just become a relay node lacks the zones from which it has received nothing yet: count their nodes as silent.
+    auto recentMaximum = m_recentNodes.take(sum->nodes, now, m_options.silentFor);
+    sum->silentNodes = std::max(sum->silentNodes, recentMaximum - sum->nodes);
     sum->teamTotals = m_fleetTotals.totals();
-    return Others { .sum = std::move(*sum), .heardAt = m_totalsHeardAt };
+    return Others { .sum = std::move(*sum), .heardAt = m_totalsReceivedAt };
 }
 
 std::int64_t FleetRelay::clockDifference(std::int64_t own, SteadyTime now) const
 {
     auto differences = m_table.clockDifferences(now);
     differences.push_back(own);
-    auto add = [&](const auto& tellers) {
-        for (const auto& [relay, heard] : tellers) {
-            if (now - heard.heardAt <= m_options.freshFor)
-                differences.push_back(heard.clockDifference);
+    auto add = [&](const auto& aggregatesByRelay) {
+        for (const auto& [relay, received] : aggregatesByRelay) {
+            if (now - received.heardAt <= m_options.freshFor)
+                differences.push_back(received.clockDifference);
         }
     };
-    add(m_fleetSums);
-    for (const auto& [name, zone] : m_zones)
-        add(zone.tellers);
+    add(m_fleetAggregates);
+    for (const auto& [name, zone] : m_remoteZones)
+        add(zone.aggregatesByRelay);
     return medianOf(std::move(differences));
 }
 
--- a/modules/peers/fleet_relay.h
+++ b/modules/peers/fleet_relay.h
@@ -1,9 +1,10 @@
-// How the nodes of a large fleet hear of each other: each tells its row to two relays of its availability zone; a relay adds up its
-// zone and tells the relays of the other zones; and it adds up all zones and tells the nodes of its own. So what a node sends and hears
-// does not grow with the fleet, and what it knows of all others is less than a second old.
+// State exchange through relay nodes in a large fleet: each node sends its row to two relay nodes of its availability zone; a relay node
+// aggregates its zone and sends the result to the relay nodes of the other zones; it also aggregates all zones and sends that to the nodes
+// of its own zone. So a node's traffic does not grow with the fleet, and its state of all others is less than a second old.
 //
-// A node is a relay because others take it for one. It keeps nothing that another could not build within a second, and nothing rests on
-// a sum being whole: whoever hears none counts the fleet as cut off. Pure, with the time passed in. Belongs to the request thread.
+// A node acts as a relay node when other nodes chose it. All its state can be rebuilt by another node within a second, and no decision
+// depends on an aggregate being complete: a node that receives none treats the fleet as cut off. Pure state machine with the time passed
+// in; used by the request thread only.
 #pragma once
 
 #include "core/recent_most.h"
@@ -19,82 +20,87 @@
 struct FleetRelayOptions {
     std::string node {};
     std::string zone {};
-    // A fleet up to this size needs no relays: every node hears every other one within two periods.
+    // A fleet up to this size needs no relay nodes: every node receives the rows of every other one within two periods.
     unsigned everyNodeUpTo { 16 };
-    Milliseconds period { 250 }; // In which a row is told.
-    // Soon after its start a node spends only its own share of the teams' limits, until it has heard the others: in the four seconds around a
-    // loss of power of 295 nodes, 1,245 requests were refused for that. Told each 100 ms, nearly all are heard within half a second.
+    Milliseconds period { 250 }; // Interval between this node's rows.
+    // Interval between rows during `startTime`. After its start a node admits only its own share of the teams' limits until it has received
+    // state of the others: in the four seconds around a power loss of 295 nodes, 1,245 requests were refused for that. With a row every 100
+    // ms, state of nearly all nodes arrives within half a second.
     Milliseconds startPeriod { 100 };
     Milliseconds startTime { 2000 };
-    Milliseconds freshFor { 1500 }; // Rows and sums: six gossip periods. What is older counts as silent.
-    Milliseconds silentFor { 20000 }; // Then a node has gone, and no part of the teams' limits is left for it.
-    std::size_t contactsPerSum { 4 }; // So that 50 nodes of a zone have been named to all within some five seconds.
-    std::size_t watchersTold { 4 };
-    // In a sum, eight bytes each: two kilobytes. Named one and all, 3,000 endpoints were 24 KB in each sum, and a relay that told them to
-    // the 75 nodes of its zone sent 3.6 MB a second, three times what a small node's link takes.
-    std::size_t loadsTold { 256 };
-    // Newest first. Others are heard of by the list of endpoints, some hundred milliseconds later.
-    std::size_t leavingTold { 64 };
+    Milliseconds freshFor { 1500 }; // Maximum age of rows and aggregates: six gossip periods. Senders of older ones count as silent.
+    Milliseconds silentFor { 20000 }; // A node silent for longer counts as removed and gets no share of the teams' limits.
+    std::size_t contactsPerAggregate { 4 }; // Enough to send the contacts of a zone of 50 nodes to all within about five seconds.
+    std::size_t watchersPerAggregate { 4 }; // Nodes of one zone with a working watch on the store that its zone aggregate lists.
+    // Endpoint loads in one aggregate, at eight bytes each: two kilobytes. Without a limit, 3,000 endpoints took 24 KB in each aggregate,
+    // and a relay node with 75 nodes in its zone sent 3.6 MB a second, three times the capacity of a small node's link.
+    std::size_t loadsPerAggregate { 256 };
+    // Marks of leaving endpoints in one aggregate, newest first. The other marks reach nodes by the list of endpoints, a few hundred
+    // milliseconds later.
+    std::size_t leavingMarksPerAggregate { 64 };
     RelayChoiceOptions choice {};
-    std::uint32_t randomSeed { std::random_device {}() }; // For which contacts a sum names.
+    std::uint32_t randomSeed { std::random_device {}() }; // Seed for the random choice of contacts in an aggregate.
 };
 
 class FleetRelay {
 public:
     FleetRelay(PeerTable&, const FleetRelayOptions&, SteadyTime startedAt);
 
-    // A row of this node as it is told now, with a higher sequence than the last one: call it once a period, before anything is told.
+    // Sets this node's current row; its sequence must be higher than that of the previous one. Call once a period, before any sending.
     void setOwnRow(const PeerRow&, SteadyTime now);
     void onRow(const PeerRow&, SteadyTime now);
-    void onZoneSum(const GroupSum&, SteadyTime now);
-    void onFleetSum(const GroupSum&, SteadyTime now);
+    void onZoneAggregate(const GroupSum&, SteadyTime now);
+    void onFleetAggregate(const GroupSum&, SteadyTime now);
 
-    // Until the next row.
+    // Time until this node's next row.
     Milliseconds period(SteadyTime now) const { return isStarting(now) ? m_options.startPeriod : m_options.period; }
-    // Whether a relay tells the sum of the fleet in this period: each of a zone's two in every second one, since it is some kilobytes long.
+    // Whether a relay node sends the fleet aggregate in this period. As it has several kilobytes, each relay node sends it in every second
+    // period only, except just after the start.
     bool isFleetTellingDue(SteadyTime now) const { return isStarting(now) || (m_ownRow.sequence + shortNameOf(m_options.node)) % 2 == 0; }
-    // Whether the fleet is large enough, as far as this node knows. `listed` nodes stand in the store.
+    // Whether the fleet, as known to this node, is large enough to need relay nodes. `listed` is the number of nodes in the store.
     bool isNeeded(unsigned listed) const;
-    // Where this node's row goes.
+    // Addresses of the relay nodes to which this node sends its row.
     std::vector<Address> rowReceivers() const;
-    // Others take this node for a relay, or it is first by rank.
+    // Whether this node is a relay node: other nodes send it their rows, or it has itself chosen it by rank.
     bool isRelay(SteadyTime now);
-    // The sums of a relay, and to whom they go.
-    struct Telling {
+    // An aggregate of a relay node with the addresses that it is sent to.
+    struct AddressedAggregate {
         std::vector<Address> receivers {};
         GroupSum sum {};
     };
-    // Whom a relay tells what cannot wait: the nodes that take it for one, and the relays of the other zones.
+    // Receivers of urgent updates from a relay node: the nodes that use it as relay node, and the relay nodes of the other zones.
     std::vector<Address> urgentReceivers(SteadyTime now);
-    // The relays of all zones, as far as this one knows them.
+    // Other relay nodes of all zones, as far as this node knows them.
     std::vector<Address> otherRelays(SteadyTime now);
-    // The nodes that take this one for a relay.
+    // Nodes that use this one as relay node.
     std::vector<Address> members(SteadyTime now) const;
     const std::string& node() const { return m_options.node; }
-    Telling zoneTelling(SteadyTime now);
-    Telling fleetTelling(SteadyTime now);
+    AddressedAggregate zoneTelling(SteadyTime now);
+    AddressedAggregate fleetTelling(SteadyTime now);
 
-    // All nodes but this one, as far as it knows: what this node adds up itself, or the best of the sums that it hears. Empty where
-    // nothing was heard lately. Its team totals are joined from all relays, and only how they grow means something.
+    // Aggregate of all nodes but this one: computed by this node if it is a relay node, or received from one, whichever has more nodes.
+    // Empty if nothing was received lately. The team totals are merged from all relay nodes; only their growth is meaningful, not their
+    // value.
     struct Others {
         GroupSum sum {};
-        SteadyTime heardAt {}; // The newest of what the team totals are joined from.
+        SteadyTime heardAt {}; // Time at which the team totals were last updated.
     };
     std::optional<Others> others(SteadyTime now);
-    // As PeerTable::clockDifference, over sums too.
+    // As PeerTable::clockDifference, with the clock differences of received aggregates included.
     std::int64_t clockDifference(std::int64_t own, SteadyTime now) const;
 
 private:
-    struct HeardSum {
+    struct ReceivedAggregate {
         GroupSum sum {};
         SteadyTime heardAt {};
         std::int64_t clockDifference { 0 };
-        bool countedThisNode { false };
+        bool isThisNodeIncluded { false };
     };
 
-    struct HeardZone {
-        std::map<std::string, HeardSum> tellers {}; // By relay.
-        JoinedTotals teamTotals {};
+    // State received from the relay nodes of one other zone.
+    struct RemoteZone {
+        std::map<std::string, ReceivedAggregate> aggregatesByRelay {}; // By relay node.
+        MergedTotals teamTotals {};
         RelayChoice choice {};
     };
 
@@ -106,19 +112,19 @@
     };
 
     bool isStarting(SteadyTime now) const { return now - m_startedAt < m_options.startTime; }
-    bool hear(std::map<std::string, HeardSum>&, const GroupSum&, SteadyTime now);
-    void learnContacts(const GroupSum&, SteadyTime now);
+    bool storeIfNewer(std::map<std::string, ReceivedAggregate>&, const GroupSum&, SteadyTime now);
+    void refreshContacts(const GroupSum&, SteadyTime now);
     std::vector<const PeerRow*> freshRows(SteadyTime now) const;
     std::vector<Address> otherZonesReceivers(SteadyTime now);
     void addMembers(std::vector<Address>&, SteadyTime now) const;
-    GroupSum zoneSum(SteadyTime now, bool withOwn);
-    GroupSum wholeSum(SteadyTime now, bool withOwn);
+    GroupSum zoneAggregate(SteadyTime now, bool includeOwnRow);
+    GroupSum fleetAggregate(SteadyTime now, bool includeOwnRow);
     void addContacts(GroupSum&, SteadyTime now);
-    // What every sum says besides.
-    void finish(GroupSum&, SteadyTime now);
-    const HeardSum* bestOf(const std::map<std::string, HeardSum>&, SteadyTime now) const;
-    const OwnRow* ownRowOf(const GroupSum&) const;
-    GroupSum withoutOwn(GroupSum) const;
+    // Sets the fields that zone and fleet aggregates have in common: sequence, time and contacts.
+    void setCommonFields(GroupSum&, SteadyTime now);
+    const ReceivedAggregate* mostCompleteOf(const std::map<std::string, ReceivedAggregate>&, SteadyTime now) const;
+    const OwnRow* includedOwnRow(const GroupSum&) const;
+    GroupSum withoutOwnRow(GroupSum) const;
 
     PeerTable& m_table;
     FleetRelayOptions m_options;
@@ -126,18 +132,18 @@
     PeerContact m_self {};
     PeerRow m_ownRow {};
     std::int64_t m_ownClockDifference { 0 };
-    std::deque<OwnRow> m_ownRows {}; // The last ones told, oldest first.
-    std::uint32_t m_sequence { 0 }; // Of the last sum.
-    TotalsSum m_zoneTotals; // Of the own zone's rows, this node's included.
-    TotalsSum m_otherTotals; // The same without this node's.
+    std::deque<OwnRow> m_ownRows {}; // The last rows sent, oldest first.
+    std::uint32_t m_sequence { 0 }; // Of the last aggregate sent.
+    AggregatedTotals m_zoneTotals; // Over the rows of this node's zone, including its own.
+    AggregatedTotals m_otherTotals; // Over the rows of this node's zone, without its own.
     RelayChoice m_choice;
-    std::vector<PeerContact> m_chosen {}; // Relays of the own zone, as this node chose them in this period.
-    std::map<std::string, HeardZone> m_zones {}; // Other zones.
-    std::map<std::string, HeardSum> m_fleetSums {}; // By relay of the own zone.
-    SteadyTime m_totalsHeardAt {};
-    RecentMost m_recentNodes {}; // That were heard of at once.
-    JoinedTotals m_fleetTotals {}; // Of the others, from the sums of the own zone's relays.
-    std::map<std::string, SteadyTime> m_members {}; // Nodes that take this one for a relay, and when they last wrote.
+    std::vector<PeerContact> m_ownZoneRelays {}; // Relay nodes of this node's zone that it chose in this period.
+    std::map<std::string, RemoteZone> m_remoteZones {}; // Other zones.
+    std::map<std::string, ReceivedAggregate> m_fleetAggregates {}; // Received, by relay node of this node's zone.
+    SteadyTime m_totalsReceivedAt {};
+    RecentMost m_recentNodes {}; // Largest number of nodes in one aggregate during the last `silentFor`.
+    MergedTotals m_fleetTotals {}; // Of all other nodes, merged from the aggregates of this zone's relay nodes.
+    std::map<std::string, SteadyTime> m_members {}; // Nodes that use this one as relay node, with the time of their last row.
     std::minstd_rand m_random;
 };
 
--- a/modules/peers/group_sum.cpp
+++ b/modules/peers/group_sum.cpp
@@ -18,18 +18,18 @@
 
 bool GroupSum::isSound() const
 {
-    constexpr std::uint32_t mostNodes = 100000; // Far more than any fleet: what is divided by it stays a number.
-    constexpr double mostTokens = 1e15; // Of a team, in a relay's life.
-    constexpr double mostDemand = 1e9;
-    if (relay.node.empty() || nodes == 0 || nodes > mostNodes || silentNodes > mostNodes)
+    constexpr std::uint32_t maximumNodeCount = 100000; // Far more than any fleet has, so that divisions by it give usable numbers.
+    constexpr double maximumTokens = 1e15; // Of one team, during a relay node's incarnation.
+    constexpr double maximumDemand = 1e9;
+    if (relay.node.empty() || nodes == 0 || nodes > maximumNodeCount || silentNodes > maximumNodeCount)
         return false;
-    bool totals = std::all_of(teamTotals.begin(), teamTotals.end(), [&](const auto& it) { return it.second >= 0 && it.second <= mostTokens; });
-    bool asked = std::all_of(demand.begin(), demand.end(), [&](const auto& it) {
-        const auto& one = it.second;
-        auto sound = [&](double number) { return number >= 0 && number <= mostDemand; };
-        return sound(one.requestsPerSecond) && sound(one.waiting) && sound(one.running) && sound(one.busyEngines) && sound(one.refusedPerSecond);
+    bool areTotalsSound = std::all_of(teamTotals.begin(), teamTotals.end(), [&](const auto& it) { return it.second >= 0 && it.second <= maximumTokens; });
+    bool isDemandSound = std::all_of(demand.begin(), demand.end(), [&](const auto& it) {
+        const auto& serviceDemand = it.second;
+        auto isInRange = [&](double number) { return number >= 0 && number <= maximumDemand; };
+        return isInRange(serviceDemand.requestsPerSecond) && isInRange(serviceDemand.waiting) && isInRange(serviceDemand.running) && isInRange(serviceDemand.busyEngines) && isInRange(serviceDemand.refusedPerSecond);
     });
-    return totals && asked;
+    return areTotalsSound && isDemandSound;
 }
 
 void addLoad(std::map<ShortName, SummedLoad>& loads, ShortName endpoint, double inFlight, double waitingTokens)
@@ -39,23 +39,23 @@
     load.waitingUnits = addSaturating(load.waitingUnits, waitingTokens / SummedLoad::tokensPerUnit);
 }
 
-void keepHeaviest(std::map<ShortName, SummedLoad>& loads, std::size_t most)
+void keepHeaviest(std::map<ShortName, SummedLoad>& loads, std::size_t maximum)
 {
-    if (loads.size() <= most)
+    if (loads.size() <= maximum)
         return;
     std::vector<std::pair<ShortName, SummedLoad>> all(loads.begin(), loads.end());
     auto isHeavier = [](const auto& left, const auto& right) {
         return std::pair(left.second.waitingUnits, left.second.inFlight) > std::pair(right.second.waitingUnits, right.second.inFlight);
     };
-    std::nth_element(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(most), all.end(), isHeavier);
-    all.resize(most);
+    std::nth_element(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(maximum), all.end(), isHeavier);
+    all.resize(maximum);
     loads = { all.begin(), all.end() };
 }
 
 void takeNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone)
 {
-    bool closer = other.version == best.version && other.version > 0 && other.zone == ownZone && best.zone != ownZone;
-    if (other.version > best.version || closer)
+    bool isCloser = other.version == best.version && other.version > 0 && other.zone == ownZone && best.zone != ownZone;
+    if (other.version > best.version || isCloser)
         best = other;
 }
 
--- a/modules/peers/group_sum.h
+++ b/modules/peers/group_sum.h
@@ -1,4 +1,4 @@
-// What the nodes of an availability zone, or of the whole fleet, add up to. Relays tell it (FleetRelay); encoded by cereal.
+// Aggregated state of the nodes of an availability zone or of the fleet. Computed and sent by relay nodes (FleetRelay); encoded by cereal.
 #pragma once
 
 #include "modules/peers/growing_totals.h"
@@ -6,17 +6,18 @@
 
 namespace Onyxnotch {
 
-// A short name of a node or an endpoint inside sums. Two that share one are taken for one: their loads add up, no more.
+// 32-bit hash that stands for a node or an endpoint in aggregates. If two collide they are treated as one; the only effect is that their
+// loads are added up.
 using ShortName = std::uint32_t;
 inline ShortName shortNameOf(const std::string& name) { return static_cast<ShortName>(mixHash(std::hash<std::string> {}(name), 0)); }
 inline ShortName shortNameOf(const EndpointLife& life) { return static_cast<ShortName>(mixHash(hashOf(life), 0)); }
 
-// In eight bytes, since a sum tells of every endpoint that is in use.
+// Load of one endpoint over several nodes; with its ShortName it takes eight bytes, since an aggregate has hundreds of them.
 struct SummedLoad {
     std::uint16_t inFlight { 0 };
-    std::uint16_t waitingUnits { 0 }; // Of prompts' tokens, see tokensPerUnit.
+    std::uint16_t waitingUnits { 0 }; // Prompt tokens not read yet, in units of `tokensPerUnit`.
 
-    static constexpr double tokensPerUnit = 64; // Finer than the error of what is taken to be cached; up to four million tokens.
+    static constexpr double tokensPerUnit = 64; // Finer than the error of the estimate of cached tokens; allows up to four million tokens.
 
     bool operator==(const SummedLoad&) const = default;
 
@@ -24,7 +25,7 @@
     void serialize(Archive& archive) { archive(inFlight, waitingUnits); }
 };
 
-// The newest document that a node of the group can give.
+// The newest version of a document within the group, and the node that serves it.
 struct DocumentSource {
     std::uint64_t version { 0 };
     Address address {};
@@ -36,19 +37,19 @@
     void serialize(Archive& archive) { archive(version, address, zone); }
 };
 
-// A node that held the duties in this life, last under this fence, and does no more.
-struct FormerHolder {
+// A node that held the lease of the singleton duties in this incarnation, last with this fencing token, and no longer holds it.
+struct FormerDutyHolder {
     std::string node {};
     std::uint64_t lifetime { 0 };
     std::uint64_t fence { 0 };
 
-    bool operator==(const FormerHolder&) const = default;
+    bool operator==(const FormerDutyHolder&) const = default;
 
     template <class Archive>
     void serialize(Archive& archive) { archive(node, lifetime, fence); }
 };
 
-// A node that follows the store, and whose watch works.
+// A node with a working watch on the store.
 struct StoreWatcher {
     std::string zone {};
     std::string node {};
@@ -60,29 +61,29 @@
 };
 
 struct GroupSum {
-    PeerContact relay {}; // That made it.
-    std::uint32_t sequence { 0 }; // Of the sum in the relay's life.
-    std::uint32_t nodes { 0 }; // That spoke lately.
-    std::uint32_t silentNodes { 0 }; // That spoke some time ago: they may be cut off, and serve all the same.
-    std::uint64_t trueMilliseconds { 0 }; // The time of day on which the nodes agree, when the sum was sent.
-    TotalsByName teamTotals {}; // Grow from the relay's start on.
+    PeerContact relay {}; // The relay node that computed the aggregate.
+    std::uint32_t sequence { 0 }; // Of the aggregate, increasing during the relay node's incarnation.
+    std::uint32_t nodes { 0 }; // Number of nodes with a recent row.
+    std::uint32_t silentNodes { 0 }; // Number of nodes whose last row is older: they may be cut off but still serving requests.
+    std::uint64_t trueMilliseconds { 0 }; // Time of day by the median of the nodes' clocks when the aggregate was sent.
+    TotalsByName teamTotals {}; // Counted since the relay node's start.
     std::map<ShortName, SummedLoad> loads {}; // By endpoint.
     std::map<std::string, ServiceDemand> demand {};
     VersionNews versions {};
     SuspectNews suspects {};
     std::vector<EndpointLife> leavingEndpoints {};
     std::vector<PeerContact> dutyHolders {};
-    std::vector<FormerHolder> formerHolders {};
-    std::string firstCandidate {}; // For the duties: the first by name. Empty where there is none.
-    DocumentSource endpoints {}; // At a node that follows the store.
+    std::vector<FormerDutyHolder> formerHolders {};
+    std::string firstCandidate {}; // First node by name that may take the singleton duties. Empty if there is none.
+    DocumentSource endpoints {}; // The list of endpoints.
     DocumentSource configuration {};
-    std::vector<StoreWatcher> watchers {}; // Of each zone the first ones by name.
-    std::map<ShortName, std::uint32_t> counted {}; // Of the relay's zone: the sequence of each node's row that is in it.
-    std::vector<PeerContact> contacts {}; // Some nodes that spoke lately, the relays of the zone first.
+    std::vector<StoreWatcher> watchers {}; // The first ones of each zone by name.
+    std::map<ShortName, std::uint32_t> counted {}; // For each included node of the relay node's zone, the sequence of its row.
+    std::vector<PeerContact> contacts {}; // Some nodes with a recent row; the zone's relay nodes come first.
 
     bool operator==(const GroupSum&) const = default;
 
-    // Whether it may be acted on: numbers that a fleet can have.
+    // Whether all numbers are within plausible ranges; otherwise the aggregate is refused.
     bool isSound() const;
 
     template <class Archive>
@@ -93,12 +94,12 @@
     }
 };
 
-// Keeps the endpoints on which most waits, then those with most in flight. One that is left out is less loaded than any that is told.
-void keepHeaviest(std::map<ShortName, SummedLoad>&, std::size_t most);
+// Keeps the `maximum` endpoints with the most waiting tokens; among equal ones, those with the most requests in flight.
+void keepHeaviest(std::map<ShortName, SummedLoad>&, std::size_t maximum);
 void addLoad(std::map<ShortName, SummedLoad>&, ShortName endpoint, double inFlight, double waitingTokens);
-// Among equally new sources, one of the own zone.
+// Replaces `best` by `other` if that is newer, or equally new and, unlike `best`, in `ownZone`.
 void takeNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone);
-// Adds what a node, or another group, says; team totals, which need a memory, are left to the caller.
+// Add a node's row or another group's aggregate. Team totals are left to the caller, since merging them needs the previous values.
 void addRow(GroupSum&, const PeerRow&, const std::string& ownZone);
 void addGroup(GroupSum&, const GroupSum&, const std::string& ownZone);
 
--- a/modules/peers/growing_totals.cpp
+++ b/modules/peers/growing_totals.cpp
@@ -4,37 +4,38 @@
 
 namespace Onyxnotch {
 
-void TotalsSum::hear(const std::string& node, std::uint64_t lifetime, Milliseconds age, const TotalsByName& totals, SteadyTime now)
+void AggregatedTotals::update(const std::string& node, std::uint64_t lifetime, Milliseconds age, const TotalsByName& totals, SteadyTime now)
 {
-    auto [it, unknown] = m_nodes.try_emplace(node);
-    auto& known = it->second;
-    if (!unknown && lifetime < known.lifetime)
+    auto [it, isNew] = m_nodes.try_emplace(node);
+    auto& state = it->second;
+    if (!isNew && lifetime < state.lifetime)
         return;
-    bool newLife = lifetime != known.lifetime;
-    bool wasThereBefore = unknown && age > now - m_startedAt;
-    if (newLife)
-        known = { .lifetime = lifetime };
+    bool isNewIncarnation = lifetime != state.lifetime;
+    bool isFromBefore = isNew && age > now - m_startedAt;
+    if (isNewIncarnation)
+        state = { .lifetime = lifetime };
     for (const auto& [name, total] : totals) {
-        auto& heard = known.heard.try_emplace(name, wasThereBefore ? total : 0).first->second;
-        // A node takes back what did not run in the end: then it grows again from below what was counted.
-        m_totals[name] += std::max(0.0, total - heard);
-        heard = std::max(heard, total);
+        auto& highest = state.highest.try_emplace(name, isFromBefore ? total : 0).first->second;
+        // A node's total decreases when it subtracts requests that were not executed; growth below the highest value counted so far adds
+        // nothing.
+        m_totals[name] += std::max(0.0, total - highest);
+        highest = std::max(highest, total);
     }
 }
 
-void JoinedTotals::hear(const std::string& teller, std::uint64_t lifetime, bool alignAnew, const TotalsByName& totals)
+void MergedTotals::update(const std::string& source, std::uint64_t lifetime, bool realign, const TotalsByName& totals)
 {
-    auto [it, unknown] = m_tellers.try_emplace(teller);
-    auto& known = it->second;
-    if (unknown || known.lifetime != lifetime || alignAnew) {
-        known = { .lifetime = lifetime, .offsets = m_totals };
+    auto [it, isNew] = m_sources.try_emplace(source);
+    auto& state = it->second;
+    if (isNew || state.lifetime != lifetime || realign) {
+        state = { .lifetime = lifetime, .offsets = m_totals };
         for (const auto& [name, total] : totals)
-            known.offsets[name] -= total;
+            state.offsets[name] -= total;
     }
     for (const auto& [name, total] : totals) {
-        auto offset = known.offsets.try_emplace(name, 0).first->second; // What it did not tell of before was nothing.
-        auto& joined = m_totals[name];
-        joined = std::max(joined, total + offset);
+        auto offset = state.offsets.try_emplace(name, 0).first->second; // A name that the source did not report before counts from 0.
+        auto& merged = m_totals[name];
+        merged = std::max(merged, total + offset);
     }
 }
 
--- a/modules/peers/growing_totals.h
+++ b/modules/peers/growing_totals.h
@@ -1,7 +1,6 @@
-// Totals that only grow, added up over nodes and joined from several tellers. Pure.
+// Aggregation of counters that only grow, over several nodes and from several sources. Pure state machines with the time passed in.
 //
-// A sum is known up to a constant: whoever begins to add up knows nothing of what was before. So a reader goes by how much a sum has
-// grown, never by its height.
+// An aggregated total lacks an unknown constant: what was counted before the aggregation began. Readers must use its growth, not its value.
 #pragma once
 
 #include "core/clock.h"
@@ -13,23 +12,23 @@
 
 using TotalsByName = std::map<std::string, double>;
 
-// Adds up what several nodes count, since this object was made.
-class TotalsSum {
+// Adds up the growth of several nodes' counters since the construction of this object.
+class AggregatedTotals {
 public:
-    explicit TotalsSum(SteadyTime startedAt)
+    explicit AggregatedTotals(SteadyTime startedAt)
         : m_startedAt(startedAt)
     {
     }
 
-    // Totals of a node's life as it tells them; `age` is how long that life has lasted. Of a node that was there before, only what comes
-    // from now on counts: somebody else has added up what was before.
-    void hear(const std::string& node, std::uint64_t lifetime, Milliseconds age, const TotalsByName& totals, SteadyTime now);
+    // Updates with the totals that a node reports for its incarnation; `age` is the time since that incarnation's start. If it started
+    // before this object was constructed, only growth from now on counts, because other aggregators have counted the earlier part.
+    void update(const std::string& node, std::uint64_t lifetime, Milliseconds age, const TotalsByName& totals, SteadyTime now);
     const TotalsByName& totals() const { return m_totals; }
 
 private:
     struct Node {
         std::uint64_t lifetime { 0 };
-        TotalsByName heard {};
+        TotalsByName highest {};
     };
 
     SteadyTime m_startedAt;
@@ -37,21 +36,21 @@
     TotalsByName m_totals {};
 };
 
-// Several tellers' sums of the same nodes. Each is aligned when it is first heard; then the highest one counts, since a lower one has
-// missed something.
-class JoinedTotals {
+// Merges the totals that several sources aggregated over the same nodes. Each source gets an offset at its first report, so that it starts
+// at the current merged total; from then on the highest value counts, since a lower one misses some reports.
+class MergedTotals {
 public:
-    // `alignAnew`: the teller adds up other nodes than before.
-    void hear(const std::string& teller, std::uint64_t lifetime, bool alignAnew, const TotalsByName& totals);
+    // Updates with the totals of one source. `realign`: the source aggregates other nodes than before, so its offset is computed again.
+    void update(const std::string& source, std::uint64_t lifetime, bool realign, const TotalsByName& totals);
     const TotalsByName& totals() const { return m_totals; }
 
 private:
-    struct Teller {
+    struct Source {
         std::uint64_t lifetime { 0 };
         TotalsByName offsets {};
     };
 
-    std::map<std::string, Teller> m_tellers {};
+    std::map<std::string, Source> m_sources {};
     TotalsByName m_totals {};
 };
 
--- a/modules/peers/limit_messages.h
+++ b/modules/peers/limit_messages.h
@@ -1,33 +1,35 @@
-// How a node of a large fleet gets credits for endpoints that named a limit (EntryLimits). One datagram each; encoded by cereal.
+// Messages by which a node of a large fleet requests, gets and returns credits for endpoints with an advertised limit (EntryLimits). One
+// datagram each; encoded by cereal.
 #pragma once
 
 #include "modules/limits/endpoint_limits.h"
 
 namespace Onyxnotch {
 
-// To a relay: a request is to be sent there.
+// Sent to a relay node: requests a credit for sending one request to an endpoint.
 struct CreditAsk {
-    std::uint64_t number { 0 }; // Chosen by the asking node, and repeated in the answer.
-    LimitWord word {}; // As the asking node knows it.
-    std::uint32_t asks { 1 }; // That the node has had for this endpoint since it asked last, this one included.
+    std::uint64_t number { 0 }; // Chosen by the requesting node, and repeated in the answer.
+    LimitWord word {}; // The endpoint's advertised limit as known to the requesting node.
+    std::uint32_t asks { 1 }; // Requests for the endpoint at the requesting node since its previous CreditAsk, this one included.
 
     bool operator==(const CreditAsk&) const = default;
 
     bool isSound() const
     {
-        constexpr std::uint32_t mostAsks = 1000000;
-        return word.isSound() && asks <= mostAsks;
+        constexpr std::uint32_t maximumRequests = 1000000;
+        return word.isSound() && asks <= maximumRequests;
     }
 
     template <class Archive>
     void serialize(Archive& archive) { archive(number, word, asks); }
 };
 
+// The relay node's answer to a CreditAsk.
 struct CreditAnswer {
     std::uint64_t number { 0 };
     EndpointLife endpoint {};
     bool isGiven { false };
-    std::uint32_t askAgainMilliseconds { 0 }; // Where none was given: not sooner.
+    std::uint32_t askAgainMilliseconds { 0 }; // If no credit was granted: time to wait before the next credit request.
 
     bool operator==(const CreditAnswer&) const = default;
 
@@ -35,7 +37,7 @@
     void serialize(Archive& archive) { archive(number, endpoint, isGiven, askAgainMilliseconds); }
 };
 
-// To the relay that gave it: nothing was sent for it.
+// Sent to the relay node that granted a credit: returns it, since no request was sent to the endpoint.
 struct CreditReturn {
     EndpointLife endpoint {};
 
--- a/modules/peers/peer_exchange.cpp
+++ b/modules/peers/peer_exchange.cpp
@@ -43,7 +43,7 @@
     m_socket.async_receive_from(asio::buffer(m_buffer), m_sender, [this](const asio::error_code& ec, std::size_t size) {
         if (ec == asio::error::operation_aborted)
             return;
-        // An error here is a port of a peer that was closed: the next datagram is as good.
+        // An error here reports that a peer's port is closed; receiving can go on.
         if (!ec)
             onDatagram(size);
         receive();
@@ -55,18 +55,18 @@
     auto frame = decodeFrame(std::string_view(m_buffer.data(), size));
     if (!frame)
         return;
-    auto taken = takeMessage(frame.value());
-    if (!taken)
-        logEvent(LogLevel::Warning, "peer_message_refused", { { "error", taken.error().message } });
+    auto handled = handleMessage(frame.value());
+    if (!handled)
+        logEvent(LogLevel::Warning, "peer_message_refused", { { "error", handled.error().message } });
 }
 
-Status PeerExchange::takeMessage(const Frame& frame)
+Status PeerExchange::handleMessage(const Frame& frame)
 {
     switch (frame.type) {
     case MessageType::PrefillNotice: {
         BOOST_OUTCOME_TRY(notice, unpackMessage<PrefillNotice>(frame.type, frame));
         if (!notice.isSound())
-            return Error { ErrorCode::InvalidArgument, "a prompt of a size that none can have" };
+            return Error { ErrorCode::InvalidArgument, "prefill notice with a token count out of range" };
         m_receivers.prefill(notice);
         return success();
     }
@@ -81,47 +81,47 @@
         return success();
     }
     case MessageType::LimitNews:
-        return takeLimitNews(frame);
+        return handleLimitUpdate(frame);
     case MessageType::CreditAsk:
     case MessageType::CreditAnswer:
     case MessageType::CreditReturn:
-        return takeCreditMessage(frame);
+        return handleCreditMessage(frame);
     case MessageType::ZoneSum:
     case MessageType::FleetSum:
-        return takeSum(frame);
+        return handleAggregate(frame);
     default: {
         BOOST_OUTCOME_TRY(message, unpackMessage<PeerMessage>(MessageType::PeerRow, frame));
-        takeRow(message);
+        handleRow(message);
         return success();
     }
     }
 }
 
-void PeerExchange::takeRow(const PeerMessage& message)
+void PeerExchange::handleRow(const PeerMessage& message)
 {
     auto now = steadyNow();
     for (const auto& it : message.contacts)
         m_table.addContact(it, now);
-    bool newLife = !m_table.hasHeard(message.row.node, message.row.lifetime);
+    bool isNewIncarnation = !m_table.hasReceivedRow(message.row.node, message.row.lifetime);
     if (!m_table.apply(message.row, now))
         return;
     m_relay.onRow(message.row, now);
-    m_receivers.row(message.row, newLife);
+    m_receivers.row(message.row, isNewIncarnation);
 }
 
-Status PeerExchange::takeSum(const Frame& frame)
+Status PeerExchange::handleAggregate(const Frame& frame)
 {
     BOOST_OUTCOME_TRY(sum, unpackMessage<GroupSum>(frame.type, frame));
     if (!sum.isSound())
-        return Error { ErrorCode::InvalidArgument, "a sum of numbers that no fleet can have" };
+        return Error { ErrorCode::InvalidArgument, "aggregate with values out of range" };
     if (frame.type == MessageType::ZoneSum)
-        m_relay.onZoneSum(sum, steadyNow());
+        m_relay.onZoneAggregate(sum, steadyNow());
     else
-        m_relay.onFleetSum(sum, steadyNow());
+        m_relay.onFleetAggregate(sum, steadyNow());
     return success();
 }
 
-Status PeerExchange::takeLimitNews(const Frame& frame)
+Status PeerExchange::handleLimitUpdate(const Frame& frame)
 {
     BOOST_OUTCOME_TRY(news, unpackMessage<LimitNews>(frame.type, frame));
     if (news.node == m_relay.node())
@@ -130,12 +130,12 @@
     return success();
 }
 
-Status PeerExchange::takeCreditMessage(const Frame& frame)
+Status PeerExchange::handleCreditMessage(const Frame& frame)
 {
     if (frame.type == MessageType::CreditAsk) {
         BOOST_OUTCOME_TRY(ask, unpackMessage<CreditAsk>(frame.type, frame));
         if (!ask.isSound())
-            return Error { ErrorCode::InvalidArgument, "an ask for a credit with numbers that none can have" };
+            return Error { ErrorCode::InvalidArgument, "credit request with values out of range" };
         m_receivers.creditAsk(ask, sender());
     } else if (frame.type == MessageType::CreditAnswer) {
         BOOST_OUTCOME_TRY(answer, unpackMessage<CreditAnswer>(frame.type, frame));
@@ -151,11 +151,11 @@
 
 void PeerExchange::addContact(const PeerContact& contact) { m_table.addContact(contact, steadyNow()); }
 
-void PeerExchange::addSome(std::vector<PeerContact> contacts, std::size_t most, std::vector<Address>& addresses)
+void PeerExchange::addRandomAddresses(std::vector<PeerContact> contacts, std::size_t maximum, std::vector<Address>& addresses)
 {
     std::shuffle(contacts.begin(), contacts.end(), m_random);
-    if (contacts.size() > most)
-        contacts.resize(most);
+    if (contacts.size() > maximum)
+        contacts.resize(maximum);
     for (const auto& it : contacts)
         addresses.push_back(it.gossipAddress);
 }
@@ -163,9 +163,9 @@
 std::vector<Address> PeerExchange::receivers()
 {
     std::vector<Address> addresses;
-    addSome(m_table.contactsIn(m_options.zone), m_options.zoneFanOut, addresses);
-    addSome(m_table.contactsOutside(m_options.zone), m_options.otherFanOut, addresses);
-    // While few are known the seeds are asked again and again: they may have been away.
+    addRandomAddresses(m_table.contactsIn(m_options.zone), m_options.ownZoneFanOut, addresses);
+    addRandomAddresses(m_table.contactsOutside(m_options.zone), m_options.otherZonesFanOut, addresses);
+    // As long as few nodes are known, each row also goes to the seeds, since they may have been unreachable before.
     if (addresses.size() < m_options.seeds.size())
         addSeeds(addresses);
     return addresses;
@@ -183,11 +183,11 @@
 {
     auto outside = m_table.contactsOutside(m_options.zone).size();
     auto inside = m_table.contactsIn(m_options.zone).size();
-    auto part = [](std::size_t most, std::size_t all) { return all > most ? static_cast<double>(most) / static_cast<double>(all) : 1.0; };
-    return std::min(part(m_options.otherFanOut, outside), part(m_options.zoneFanOut, inside));
+    auto part = [](std::size_t maximum, std::size_t all) { return all > maximum ? static_cast<double>(maximum) / static_cast<double>(all) : 1.0; };
+    return std::min(part(m_options.otherZonesFanOut, outside), part(m_options.ownZoneFanOut, inside));
 }
 
-std::vector<PeerContact> PeerExchange::someContacts()
+std::vector<PeerContact> PeerExchange::randomContacts()
 {
     auto contacts = m_table.contacts();
     std::shuffle(contacts.begin(), contacts.end(), m_random);
@@ -198,7 +198,7 @@
 
 std::string PeerExchange::encode(const PeerRow& row)
 {
-    return encodeFrame(packMessage(MessageType::PeerRow, PeerMessage { .row = row, .contacts = someContacts() }));
+    return encodeFrame(packMessage(MessageType::PeerRow, PeerMessage { .row = row, .contacts = randomContacts() }));
 }
 
 void PeerExchange::sendBytes(const Address& address, const std::string& bytes)
@@ -207,7 +207,7 @@
     auto host = asio::ip::make_address(address.host, ec);
     if (!ec)
         m_socket.send_to(asio::buffer(bytes), { host, address.port }, 0, ec);
-    // Lost datagrams are made good by the next row.
+    // Send errors are ignored: the next row makes up for a lost datagram.
 }
 
 void PeerExchange::send(const PeerRow& row)
@@ -224,15 +224,15 @@
         sendBytes(it, bytes);
 }
 
-void PeerExchange::send(MessageType type, const FleetRelay::Telling& telling)
+void PeerExchange::send(MessageType type, const FleetRelay::AddressedAggregate& outgoing)
 {
-    sendTo(telling.receivers, type, telling.sum);
+    sendTo(outgoing.receivers, type, outgoing.sum);
 }
 
 void PeerExchange::send(const UsageNotice& notice, const std::vector<PeerContact>& holders)
 {
     std::vector<Address> addresses;
-    addSome(m_table.contacts(), m_options.usageFanOut, addresses);
+    addRandomAddresses(m_table.contacts(), m_options.usageFanOut, addresses);
     for (const auto& it : holders) {
         if (std::find(addresses.begin(), addresses.end(), it.gossipAddress) == addresses.end())
             addresses.push_back(it.gossipAddress);
@@ -257,7 +257,7 @@
 std::vector<Address> PeerExchange::everyNode()
 {
     std::vector<Address> addresses;
-    addSome(m_table.contacts(), m_options.greetingFanOut, addresses);
+    addRandomAddresses(m_table.contacts(), m_options.greetingFanOut, addresses);
     return addresses;
 }
 
--- a/modules/peers/peer_exchange.h
+++ b/modules/peers/peer_exchange.h
@@ -1,4 +1,5 @@
-// Tells the other nodes this node's row several times a second, over UDP, and takes theirs. Belongs to the request thread.
+// Sends this node's row and notices to other nodes over UDP, and passes received datagrams to the peer table, the fleet relay or the given
+// callbacks. Used by the request thread only.
 #pragma once
 
 #include "core/clock.h"
@@ -18,22 +19,24 @@
 
 struct PeerExchangeOptions {
     Address listen {};
-    std::vector<Address> seeds {}; // Gossip addresses of nodes that may be there at the start.
+    std::vector<Address> seeds {}; // Gossip addresses of nodes to contact at the start, which may be unreachable.
     std::string zone {};
-    // Every node of the own zone hears each row, up to this many: bytes inside a zone cost nothing.
-    std::size_t zoneFanOut { 32 };
-    // Of the other zones, this many hear each row, chosen anew each time; a small fleet hears all.
-    std::size_t otherFanOut { 8 };
-    // Of a greeting, some 100 KB at most, once in a life, and of what every node is told at once. A larger fleet hears the rest by and by.
+    // Maximum number of nodes of this node's zone that each row is sent to: traffic inside a zone is free.
+    std::size_t ownZoneFanOut { 32 };
+    // Maximum number of nodes of other zones that each row is sent to, chosen at random each time.
+    std::size_t otherZonesFanOut { 8 };
+    // Maximum number of receivers of the first row after a start (greetAll(), at most about 100 KB per incarnation) and of messages to
+    // every node. In a larger fleet the other nodes receive that state later.
     std::size_t greetingFanOut { 128 };
-    // Besides the holder of the duties, so many nodes, chosen anew each time, hear of usage: a holder may be lost with what it has heard.
+    // Number of nodes, chosen at random each time, that get usage counts besides the lease holders of the singleton duties, since a holder
+    // may fail and lose the counts it received.
     std::size_t usageFanOut { 8 };
-    std::size_t contactsPerMessage { 3 }; // By which nodes get to know of others.
+    std::size_t contactsPerMessage { 3 }; // Contacts of other nodes sent along with each row.
 };
 
-// What is done with messages of other nodes that neither the table nor the relay takes.
+// Callbacks for received messages, besides the updates of PeerTable and FleetRelay.
 struct PeerReceivers {
-    std::function<void(const PeerRow&, bool newLife)> row {}; // `newLife`: the node had not spoken since its last start.
+    std::function<void(const PeerRow&, bool isNewIncarnation)> row {}; // `isNewIncarnation`: first row since that node's start.
     std::function<void(const PrefillNotice&)> prefill {};
     std::function<void(const SuspectNews&)> suspects {};
     std::function<void(const LimitNews&)> limits {};
@@ -49,19 +52,19 @@
     Status start();
     Address address() const;
     void send(const PeerRow&);
-    // In a fleet that needs relays: to those of the zone.
+    // Sends the row to the relay nodes of the zone, in a fleet that needs them.
     void sendToRelays(const PeerRow&);
-    // A relay's sum.
-    void send(MessageType, const FleetRelay::Telling&);
-    // To the holders of the duties, and to a few others.
+    // Sends an aggregate of this relay node; the type is ZoneSum or FleetSum.
+    void send(MessageType, const FleetRelay::AddressedAggregate&);
+    // Sends usage counts to the lease holders of the singleton duties and to `usageFanOut` other nodes.
     void send(const UsageNotice&, const std::vector<PeerContact>& holders);
-    // To those nodes that a row would go to.
+    // Sends the notice to the same selection of nodes as a row.
     void send(const PrefillNotice&);
-    // The same. What it says stands in the next rows too: a lost one costs a period.
+    // Sends the suspects to the same selection of nodes as a row. The next rows contain them too, so a lost datagram costs one period.
     void send(const SuspectNews&);
-    // In a fleet that needs relays: to those of the zone, or, from a relay, to everybody who hears it.
+    // In a fleet that needs relay nodes: sends to those of the zone; from a relay node, to the receivers of its urgent updates.
     void sendToRelays(const SuspectNews&);
-    // To one node: an answer to the first row of its life.
+    // Sends the row to one node, as the answer to the first row of that node's incarnation.
     void sendTo(const Address&, const PeerRow&);
     template <typename Message>
     void sendTo(const std::vector<Address>& addresses, MessageType type, const Message& message)
@@ -72,26 +75,27 @@
         for (const auto& it : addresses)
             sendBytes(it, bytes);
     }
-    // All that are known so far, up to a bound.
+    // Addresses of all nodes known so far, at random up to `greetingFanOut`.
     std::vector<Address> everyNode();
-    // To every node that is known so far, up to a bound: they answer, so that a node that has just started hears all at once.
+    // Sends the row to the nodes known so far, up to `greetingFanOut`. They answer with their rows, so that a node that has just started
+    // gets the state of all at once.
     void greetAll(const PeerRow&);
     void addContact(const PeerContact&);
-    // How often, as a part of the rows that a node sends, a node of another zone hears one.
+    // Fraction of the rows of a node that any other single node receives, which is below 1 if the fleet is larger than the fan-outs.
     double heardPart() const;
 
 private:
     void receive();
     void onDatagram(std::size_t size);
-    Status takeMessage(const Frame&);
-    void takeRow(const PeerMessage&);
-    Status takeSum(const Frame&);
+    Status handleMessage(const Frame&);
+    void handleRow(const PeerMessage&);
+    Status handleAggregate(const Frame&);
     std::vector<Address> receivers();
-    Status takeLimitNews(const Frame&);
-    Status takeCreditMessage(const Frame&);
+    Status handleLimitUpdate(const Frame&);
+    Status handleCreditMessage(const Frame&);
     Address sender() const;
-    void addSome(std::vector<PeerContact> contacts, std::size_t most, std::vector<Address>& addresses);
-    std::vector<PeerContact> someContacts();
+    void addRandomAddresses(std::vector<PeerContact> contacts, std::size_t maximum, std::vector<Address>& addresses);
+    std::vector<PeerContact> randomContacts();
     std::string encode(const PeerRow&);
     void sendBytes(const Address&, const std::string& bytes);
 
--- a/modules/peers/peer_row.h
+++ b/modules/peers/peer_row.h
@@ -1,5 +1,5 @@
-// What each node tells all others about itself, several times a second. A row replaces an older one of the same node; it is encoded
-// by cereal.
+// State that each node sends about itself to other nodes several times a second, and notices sent between rows. A row replaces an older one
+// of the same node. Messages are encoded by cereal.
 #pragma once
 
 #include "core/net/address.h"
@@ -14,15 +14,15 @@
 
 namespace Onyxnotch {
 
-// What is asked of a service at one node, averaged over some seconds.
+// Demand for one service at one node, averaged over several seconds.
 struct ServiceDemand {
-    double requestsPerSecond { 0 }; // Asked for, refused ones included.
-    double waiting { 0 }; // In flight, without a first event so far.
-    double running { 0 }; // In flight, from the first event on.
-    // Engines' time for prompts, without the parts that were expected to be cached, at the rate that this node has learnt: how many
-    // engines would do nothing else.
+    double requestsPerSecond { 0 }; // Arriving requests, including refused ones.
+    double waiting { 0 }; // Requests in flight before their first event.
+    double running { 0 }; // Requests in flight after their first event.
+    // Number of engines that would be fully occupied by reading prompts, without the parts expected to be cached, at the rate measured by
+    // this node.
     double busyEngines { 0 };
-    double refusedPerSecond { 0 }; // For want of endpoints.
+    double refusedPerSecond { 0 }; // Requests refused because endpoints were lacking.
 
     bool operator==(const ServiceDemand&) const = default;
 
@@ -50,13 +50,13 @@
     void serialize(Archive& archive) { archive(requestsPerSecond, waiting, running, busyEngines, refusedPerSecond); }
 };
 
-// Where a node can be reached that the receiver may not know yet.
+// A node's identity and address, sent to nodes that may not know it yet.
 struct PeerContact {
     std::string node {};
     std::uint64_t lifetime { 0 };
     Address gossipAddress {};
-    std::string zone {}; // Empty where it is not known.
-    std::uint32_t processorPercent { 0 }; // Of a core; 0 where it is not known.
+    std::string zone {}; // Empty if unknown.
+    std::uint32_t processorPercent { 0 }; // Processor time that the node may use, in percent of a core; 0 if unknown.
 
     bool operator==(const PeerContact&) const = default;
 
@@ -66,21 +66,21 @@
 
 struct PeerRow {
     std::string node {};
-    std::uint64_t lifetime { 0 }; // Chosen at each start, higher than any before.
-    std::uint32_t sequence { 0 }; // Of the row in this life.
-    std::uint32_t ageMilliseconds { 0 }; // How long this life has lasted.
+    std::uint64_t lifetime { 0 }; // Identifies the node's incarnation; chosen at each start, higher than at any start before.
+    std::uint32_t sequence { 0 }; // Of the row, increasing during the incarnation.
+    std::uint32_t ageMilliseconds { 0 }; // Time since the node's start.
     std::string zone {};
     Address gossipAddress {};
-    Address controlAddress {}; // Serves the configuration to peers.
-    std::uint32_t processorPercent { 0 }; // Of a core, that the node may use; 0 where it was not told.
+    Address controlAddress {}; // Peers fetch the configuration here.
+    std::uint32_t processorPercent { 0 }; // Processor time that the node may use, in percent of a core; 0 if unknown.
     bool leaving { false };
-    bool hasDuties { true }; // It may take the duties that one node at a time has.
+    bool hasDuties { true }; // The node is allowed to take the singleton duties, which one node at a time performs.
     bool holdsDuties { false };
-    std::uint64_t leftDutiesFence { 0 }; // The last fence under which it held the duties and does no more; 0 for none in this life.
+    std::uint64_t leftDutiesFence { 0 }; // Last fencing token of the duties that the node no longer holds; 0 if none in this incarnation.
     std::uint64_t trueMilliseconds { 0 }; // The sender's time of day when it sent the row.
     std::uint64_t configurationVersion { 0 };
-    bool watchesStore { false }; // It follows the store itself, and its watch works.
-    std::uint64_t endpointsRevision { 0 }; // Of the endpoints that it knows; the store's number.
+    bool watchesStore { false }; // The node has a working watch on the store.
+    std::uint64_t endpointsRevision { 0 }; // The store's revision of the node's endpoint list.
     std::map<std::string, double> teamTotals {};
     std::vector<EndpointLoadReport> loads {};
     std::vector<EndpointLife> leavingEndpoints {};
@@ -91,7 +91,7 @@
     bool operator==(const PeerRow&) const = default;
 
     PeerContact contact() const { return { .node = node, .lifetime = lifetime, .gossipAddress = gossipAddress, .zone = zone, .processorPercent = processorPercent }; }
-    // One that the store turns away cannot take the lease, and one that has just lost it does not know so yet.
+    // A node without a working watch on the store could not take the lease, and a node that has just lost the lease may not know that yet.
     bool mayTakeDuties() const { return !leaving && hasDuties && watchesStore && leftDutiesFence == 0; }
 
     template <class Archive>
@@ -102,6 +102,7 @@
     }
 };
 
+// A row as it is sent, with contacts of some other nodes.
 struct PeerMessage {
     PeerRow row {};
     std::vector<PeerContact> contacts {};
@@ -110,7 +111,8 @@
     void serialize(Archive& archive) { archive(row, contacts); }
 };
 
-// Requests that began to run at a node, by window and team. Counts of a life only grow, and windows that are left out stay as told before.
+// Counts of requests started at a node, by window and team. Counts only grow during an incarnation; windows that are left out keep the
+// values sent before.
 struct UsageNotice {
     std::string node {};
     std::uint64_t lifetime { 0 };
@@ -122,18 +124,18 @@
     void serialize(Archive& archive) { archive(node, lifetime, windows); }
 };
 
-// A node has sent a long prompt to an endpoint: told at once, since it is read before the next row is due.
+// Announces that a node has sent a long prompt to an endpoint. Sent at once, as the endpoint reads the prompt before the next row is due.
 struct PrefillNotice {
     EndpointLife endpoint {};
-    double tokens { 0 }; // Not cached, as the sender expects.
+    double tokens { 0 }; // Uncached tokens of the prompt, as estimated by the sender.
 
     bool operator==(const PrefillNotice&) const = default;
 
-    // A number that a prompt can have: no engine's memory holds more tokens, and a time is worked out from it.
+    // Whether the token count is possible: no engine's memory has room for more, and a time is computed from the count.
     bool isSound() const
     {
-        constexpr double mostTokens = 1e8;
-        return tokens >= 0 && tokens <= mostTokens;
+        constexpr double maximumTokens = 1e8;
+        return tokens >= 0 && tokens <= maximumTokens;
     }
 
     template <class Archive>
--- a/modules/peers/peer_table.cpp
+++ b/modules/peers/peer_table.cpp
@@ -17,44 +17,44 @@
     if (!m_entries.contains(row.node) && m_entries.size() >= m_options.maximumNodes)
         return false;
     auto& entry = m_entries[row.node];
-    bool older = entry.spoke && (row.lifetime < entry.row.lifetime || (row.lifetime == entry.row.lifetime && row.sequence <= entry.row.sequence));
+    bool older = entry.hasRow && (row.lifetime < entry.row.lifetime || (row.lifetime == entry.row.lifetime && row.sequence <= entry.row.sequence));
     if (older)
         return false;
     entry.row = row;
     entry.contact = row.contact();
-    entry.spoke = true;
-    entry.heardAt = now;
+    entry.hasRow = true;
+    entry.lastSeenAt = now;
     entry.clockDifference = static_cast<std::int64_t>(row.trueMilliseconds) - std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
     return true;
 }
 
 void PeerTable::applyUsage(const UsageNotice& notice, SteadyTime now)
 {
-    constexpr std::size_t keptLives = 4;
-    constexpr std::size_t keptWindows = 12; // Twice what a node keeps itself.
+    constexpr std::size_t maximumIncarnations = 4;
+    constexpr std::size_t maximumWindows = 12; // Twice the number of windows that a node keeps of its own usage.
     if (notice.node == m_self || notice.node.empty())
         return;
     if (!m_entries.contains(notice.node) && m_entries.size() >= m_options.maximumNodes)
         return;
     auto& entry = m_entries[notice.node];
-    entry.heardAt = std::max(entry.heardAt, now);
-    auto& windows = entry.usageOfLives[notice.lifetime];
+    entry.lastSeenAt = std::max(entry.lastSeenAt, now);
+    auto& windows = entry.usageByIncarnation[notice.lifetime];
     for (const auto& [window, counts] : notice.windows) {
         for (const auto& [team, count] : counts) {
             auto& known = windows[window][team];
             known = std::max(known, count);
         }
     }
-    while (windows.size() > keptWindows)
+    while (windows.size() > maximumWindows)
         windows.erase(windows.begin());
-    while (entry.usageOfLives.size() > keptLives)
-        entry.usageOfLives.erase(entry.usageOfLives.begin());
+    while (entry.usageByIncarnation.size() > maximumIncarnations)
+        entry.usageByIncarnation.erase(entry.usageByIncarnation.begin());
 }
 
-bool PeerTable::hasHeard(const std::string& node, std::uint64_t lifetime) const
+bool PeerTable::hasReceivedRow(const std::string& node, std::uint64_t lifetime) const
 {
     auto it = m_entries.find(node);
-    return it != m_entries.end() && it->second.spoke && it->second.row.lifetime >= lifetime;
+    return it != m_entries.end() && it->second.hasRow && it->second.row.lifetime >= lifetime;
 }
 
 void PeerTable::addContact(const PeerContact& contact, SteadyTime now)
@@ -66,7 +66,7 @@
         return;
     it->second.contact = contact;
     if (added)
-        it->second.heardAt = now;
+        it->second.lastSeenAt = now;
 }
 
 void PeerTable::refreshContact(const PeerContact& contact, SteadyTime now)
@@ -74,19 +74,19 @@
     addContact(contact, now);
     auto it = m_entries.find(contact.node);
     if (it != m_entries.end())
-        it->second.namedAt = now;
+        it->second.confirmedByRelayAt = now;
 }
 
 void PeerTable::forgetOld(SteadyTime now)
 {
-    std::erase_if(m_entries, [&](const auto& it) { return now - std::max(it.second.heardAt, it.second.namedAt) > m_options.forgetAfter; });
+    std::erase_if(m_entries, [&](const auto& it) { return now - std::max(it.second.lastSeenAt, it.second.confirmedByRelayAt) > m_options.forgetAfter; });
 }
 
 std::vector<const PeerRow*> PeerTable::alive(SteadyTime now) const
 {
     std::vector<const PeerRow*> rows;
     for (const auto& [node, entry] : m_entries) {
-        if (entry.spoke && now - entry.heardAt <= m_options.silentAfter)
+        if (entry.hasRow && now - entry.lastSeenAt <= m_options.silentAfter)
             rows.push_back(&entry.row);
     }
     return rows;
@@ -124,8 +124,8 @@
 
 bool PeerTable::isSilent(const Entry& entry, Milliseconds silentFor, SteadyTime now) const
 {
-    auto silence = now - entry.heardAt;
-    return entry.spoke && !entry.row.leaving && silence > m_options.silentAfter && silence <= silentFor;
+    auto silence = now - entry.lastSeenAt;
+    return entry.hasRow && !entry.row.leaving && silence > m_options.silentAfter && silence <= silentFor;
 }
 
 unsigned PeerTable::silentIn(const std::string& zone, Milliseconds silentFor, SteadyTime now) const
@@ -142,7 +142,7 @@
 {
     std::vector<PeerContact> contacts;
     for (const auto& [node, entry] : m_entries) {
-        if (entry.spoke && entry.row.holdsDuties)
+        if (entry.hasRow && entry.row.holdsDuties)
             contacts.push_back(entry.contact);
     }
     return contacts;
@@ -160,7 +160,7 @@
 {
     WindowCounts sums;
     for (const auto& [node, entry] : m_entries) {
-        for (const auto& [lifetime, windows] : entry.usageOfLives) {
+        for (const auto& [lifetime, windows] : entry.usageByIncarnation) {
             for (const auto& [window, counts] : windows) {
                 for (const auto& [team, count] : counts)
                     sums[window][team] += count;
@@ -174,7 +174,7 @@
 {
     std::vector<std::int64_t> differences;
     for (const auto& [node, entry] : m_entries) {
-        if (entry.spoke && now - entry.heardAt <= m_options.silentAfter)
+        if (entry.hasRow && now - entry.lastSeenAt <= m_options.silentAfter)
             differences.push_back(entry.clockDifference);
     }
     return differences;
--- a/modules/peers/peer_table.h
+++ b/modules/peers/peer_table.h
@@ -1,4 +1,4 @@
-// The latest row of each other node: a pure state machine, with the time passed in.
+// Stores the latest row, contact and usage counts of each other node. Pure state machine with the time passed in.
 #pragma once
 
 #include "core/clock.h"
@@ -9,50 +9,52 @@
 namespace Onyxnotch {
 
 struct PeerTableOptions {
-    Milliseconds silentAfter { 1500 }; // Six gossip periods: then a node is not counted on.
-    Milliseconds forgetAfter { 30000 }; // Its usage counts are kept this long: past the report that they belong to.
+    Milliseconds silentAfter { 1500 }; // Six gossip periods without a row: the node no longer counts as alive.
+    Milliseconds forgetAfter { 30000 }; // Then a node's entry is removed; long enough for its usage counts to be in their usage report.
     std::size_t maximumNodes { 1024 };
 };
 
-// Of at least one value; of an even number, the upper one of the two in the middle.
+// Median of at least one value; for an even number of values, the upper of the two middle ones.
 std::int64_t medianOf(std::vector<std::int64_t> values);
 
 class PeerTable {
 public:
     PeerTable(std::string self, const PeerTableOptions& options = {});
 
-    // False for a row that is no newer than the one known.
+    // Stores the row. Returns false if it is not newer than the stored one, comes from this node itself, or the table is full.
     bool apply(const PeerRow&, SteadyTime now);
     void applyUsage(const UsageNotice&, SteadyTime now);
-    // Whether this life of the node has spoken.
-    bool hasHeard(const std::string& node, std::uint64_t lifetime) const;
-    // A node that another one has named. It is written to, but not counted on before it has spoken.
+    // Whether a row of this incarnation of the node, or of a later one, was received.
+    bool hasReceivedRow(const std::string& node, std::uint64_t lifetime) const;
+    // Adds a node whose address was received from another node. Rows are sent to it, but it counts as alive only after a row of its own.
     void addContact(const PeerContact&, SteadyTime now);
-    // As addContact(), said by a relay that heard the node lately: it is not forgotten.
+    // As addContact(), for a contact from a relay node that received a recent row of the node: also keeps its entry from being removed.
     void refreshContact(const PeerContact&, SteadyTime now);
     void forgetOld(SteadyTime now);
 
-    // Nodes that say that they hold the duties: they need everybody's counts.
+    // Nodes whose row says that they hold the singleton duties: they need the usage counts of all nodes.
     std::vector<PeerContact> dutyHolders() const;
-    // Rows of nodes that spoke lately.
+    // Rows of the nodes from which one was received within `silentAfter`.
     std::vector<const PeerRow*> alive(SteadyTime now) const;
     std::size_t aliveCount(SteadyTime now) const { return alive(now).size(); }
-    // Whom to write to: nodes of that zone, and all others.
+    // Contacts of the nodes in that zone.
     std::vector<PeerContact> contactsIn(const std::string& zone) const;
-    // By zone, as far as it is known.
+    // Contacts by zone, without nodes whose zone is unknown.
     std::map<std::string, std::vector<PeerContact>> contactsByZone() const;
-    // Nodes of a zone that spoke once and fell silent, without having said that they leave.
+    // Number of nodes of a zone from which rows were received, but none for more than `silentAfter` and up to `silentFor`; leaving nodes
+    // excluded.
     unsigned silentIn(const std::string& zone, Milliseconds silentFor, SteadyTime now) const;
-    // The same of all zones.
+    // As silentIn(), over all zones.
     unsigned silent(Milliseconds silentFor, SteadyTime now) const;
     std::vector<PeerContact> contactsOutside(const std::string& zone) const;
     std::vector<PeerContact> contacts() const;
-    // A fleet in which a node hears of another one only now and then needs more time before silence means something.
+    // Changes the time without a row after which a node counts as silent. A fleet in which a node receives only some of the rows of the
+    // others needs a longer one.
     void setSilentAfter(Milliseconds silentAfter) { m_options.silentAfter = silentAfter; }
-    // Usage by window over all other nodes, lives that have ended included.
+    // Usage counts by window and team over all other nodes, including their ended incarnations.
     WindowCounts usage() const;
-    // The median over all nodes of the time of day less this process's monotonic clock, in milliseconds. `own` is this node's: one
-    // clock that was stepped does not move the median.
+    // Median over all nodes of their time of day minus this process's monotonic clock, in milliseconds. `own` is this node's difference.
+    // The median keeps a single clock that was stepped from having an effect.
     std::int64_t clockDifference(std::int64_t own, SteadyTime now) const;
     std::vector<std::int64_t> clockDifferences(SteadyTime now) const;
 
@@ -60,11 +62,11 @@
     struct Entry {
         PeerRow row {};
         PeerContact contact {};
-        bool spoke { false };
-        SteadyTime heardAt {};
-        SteadyTime namedAt {}; // By a relay that had heard it.
-        std::int64_t clockDifference { 0 }; // Its time of day less our monotonic clock, when the row came.
-        std::map<std::uint64_t, WindowCounts> usageOfLives {}; // By lifetime.
+        bool hasRow { false };
+        SteadyTime lastSeenAt {};
+        SteadyTime confirmedByRelayAt {}; // Last time a relay node reported a recent row of the node.
+        std::int64_t clockDifference { 0 }; // Node's time of day minus own monotonic clock at receipt of the row, in milliseconds.
+        std::map<std::uint64_t, WindowCounts> usageByIncarnation {}; // By lifetime.
     };
 
     bool isSilent(const Entry&, Milliseconds silentFor, SteadyTime now) const;
--- a/modules/peers/relay_choice.cpp
+++ b/modules/peers/relay_choice.cpp
@@ -6,9 +6,9 @@
 
 namespace Onyxnotch {
 
-bool RelayChoice::isMute(const Node& node, SteadyTime now) const
+bool RelayChoice::isUnresponsive(const Node& node, SteadyTime now) const
 {
-    return node.chosen && now - std::max(node.chosenAt, node.answeredAt) > m_options.answersWithin;
+    return node.chosen && now - std::max(node.chosenAt, node.answeredAt) > m_options.answerTimeout;
 }
 
 void RelayChoice::onAnswer(const std::string& node, SteadyTime now)
@@ -21,8 +21,8 @@
 std::vector<PeerContact> RelayChoice::choose(const std::vector<PeerContact>& contacts, const std::string& self, SteadyTime now)
 {
     for (auto& [name, node] : m_nodes) {
-        if (name != self && isMute(node, now))
-            node.avoidedUntil = now + m_options.avoidedFor;
+        if (name != self && isUnresponsive(node, now))
+            node.avoidedUntil = now + m_options.avoidanceTime;
     }
     struct Ranked {
         ShortName hash { 0 };
@@ -45,11 +45,11 @@
     std::vector<PeerContact> chosen;
     for (std::size_t n = 0; n < count; ++n)
         chosen.push_back(*ranked[n].contact);
-    noteChosen(chosen, now);
+    markChosen(chosen, now);
     return chosen;
 }
 
-void RelayChoice::noteChosen(const std::vector<PeerContact>& chosen, SteadyTime now)
+void RelayChoice::markChosen(const std::vector<PeerContact>& chosen, SteadyTime now)
 {
     auto isChosen = [&](const std::string& name) { return std::any_of(chosen.begin(), chosen.end(), [&](const auto& it) { return it.node == name; }); };
     std::erase_if(m_nodes, [&](const auto& it) { return !isChosen(it.first) && now >= it.second.avoidedUntil; });
--- a/modules/peers/relay_choice.h
+++ b/modules/peers/relay_choice.h
@@ -1,6 +1,6 @@
-// Which nodes of an availability zone another node takes for the zone's relays: the largest ones that answer, since a relay sends and
-// hears some ten times as much as others; among equal ones, by a hash. Nobody agrees on them; all who know the same nodes choose the same
-// ones. Pure, with the time passed in.
+// Chooses the relay nodes of an availability zone: the nodes with the most processor time that answer, since a relay node has about ten
+// times the traffic of other nodes; among equal ones, by hash. There is no agreement protocol: nodes that know the same contacts choose the
+// same relay nodes. Pure state machine with the time passed in.
 #pragma once
 
 #include "core/clock.h"
@@ -9,9 +9,9 @@
 namespace Onyxnotch {
 
 struct RelayChoiceOptions {
-    std::size_t relays { 2 }; // Of a zone: one may be lost, and its sums come from the other until that is noticed.
-    Milliseconds answersWithin { 1600 }; // Three sums of it, so that one or two lost datagrams mean nothing.
-    Milliseconds avoidedFor { 5000 }; // One that did not answer.
+    std::size_t relays { 2 }; // Number per zone: if one fails, the other's aggregates are used until the failure is detected.
+    Milliseconds answerTimeout { 1600 }; // Three of the relay node's aggregates, so that one or two lost datagrams have no effect.
+    Milliseconds avoidanceTime { 5000 }; // How long a relay node that did not answer is not chosen.
 };
 
 class RelayChoice {
@@ -21,7 +21,8 @@
     {
     }
 
-    // `self` is one of the contacts where the zone is the own one: it need not answer itself. In the order of their rank.
+    // Returns the chosen relay nodes in the order of their rank. `self` is this node's name, which is not required to answer itself; empty
+    // when choosing for another zone.
     std::vector<PeerContact> choose(const std::vector<PeerContact>& contacts, const std::string& self, SteadyTime now);
     void onAnswer(const std::string& node, SteadyTime now);
 
@@ -33,11 +34,11 @@
         bool chosen { false };
     };
 
-    bool isMute(const Node&, SteadyTime now) const;
-    void noteChosen(const std::vector<PeerContact>&, SteadyTime now);
+    bool isUnresponsive(const Node&, SteadyTime now) const;
+    void markChosen(const std::vector<PeerContact>&, SteadyTime now);
 
     RelayChoiceOptions m_options;
-    std::map<std::string, Node> m_nodes {}; // That are chosen or avoided.
+    std::map<std::string, Node> m_nodes {}; // Nodes that are chosen or avoided at present, by name.
 };
 
 } // namespace Onyxnotch
--- a/tests/modules/peers/fleet_simulation.h
+++ b/tests/modules/peers/fleet_simulation.h
@@ -1,5 +1,5 @@
-// Many nodes' decisions about each other in one process, over a network with delays, losses and cuts, in simulated time. What they run is
-// what onyxnotch-entry runs: PeerTable, FleetRelay, TeamLimits; only sockets and timers are replaced.
+// Simulates a fleet of nodes in one process and in simulated time, over a network with delays, losses and partitions. The nodes run the
+// classes of onyxnotch-entry: PeerTable, FleetRelay, TeamLimits, SuspectBook; only sockets and timers are replaced.
 #pragma once
 
 #include "core/net/frame.h"
@@ -16,15 +16,15 @@
     unsigned nodes { 300 };
     unsigned zones { 6 };
     std::uint64_t seed { 1 };
-    double lossPart { 0.01 }; // Of datagrams.
+    double lossFraction { 0.01 }; // Fraction of datagrams lost.
     Milliseconds period { 250 };
-    double requestsPerSecond { 2 }; // Of each node, of one team.
+    double requestsPerSecond { 2 }; // At each node, all of one team.
     double tokensPerRequest { 1000 };
     TrafficTeam team {};
-    unsigned endpointsUsed { 1 }; // By each node at once,
-    unsigned endpoints { 20 }; // of so many.
-    bool countsBytes { false }; // Which takes encoding every message.
-    unsigned endpointsLeaving { 0 }; // That three nodes of the first zone have found to leave.
+    unsigned endpointsUsed { 1 }; // Endpoints with load from one node,
+    unsigned endpoints { 20 }; // out of this number in total.
+    bool countsBytes { false }; // Count sent bytes, for which every message has to be encoded.
+    unsigned endpointsLeaving { 0 }; // Number of endpoints that three nodes of the first zone report as leaving.
 };
 
 class FleetSimulation {
@@ -36,8 +36,8 @@
         std::uint64_t lifetime { 1 };
         SteadyTime startedAt {};
         std::uint32_t sequence { 0 };
-        bool up { true };
-        bool isCut { false }; // From every other node; callers still reach it.
+        bool isUp { true };
+        bool isCutOff { false }; // Cut off from every other node; clients still reach it.
         std::unique_ptr<PeerTable> table {};
         std::unique_ptr<FleetRelay> relay {};
         std::unique_ptr<TeamLimits> limits {};
@@ -47,7 +47,7 @@
         std::uint64_t sentBytes { 0 };
     };
 
-    // One request that was let through.
+    // One request that was admitted.
     struct Admission {
         SteadyTime at {};
         double tokens { 0 };
@@ -75,19 +75,19 @@
         m_now = end;
     }
 
-    void kill(unsigned n) { m_nodes[n].up = false; }
+    void kill(unsigned n) { m_nodes[n].isUp = false; }
     void restart(unsigned n)
     {
         ++m_nodes[n].lifetime;
         start(n);
     }
 
-    // An endpoint ends while the request runs there, and the node that had sent it finds out.
-    void endUnder(unsigned n, const RequestDigest& request, std::uint64_t life)
+    // Simulates that the endpoint incarnation `life` ends while running the request, and that node `n`, which sent the request, detects it.
+    void endEndpointDuring(unsigned n, const RequestDigest& request, std::uint64_t life)
     {
         m_nodes[n].suspects->onSent(request, life);
         m_nodes[n].suspects->onLost(request, life, m_now);
-        tellSuspects(n);
+        sendSuspects(n);
     }
 
     std::vector<Node>& nodes() { return m_nodes; }
@@ -100,8 +100,8 @@
             tokens += it.at >= from && it.at < to ? it.tokens : 0;
         return tokens;
     }
-    // The most that was let through in any span of this length.
-    double mostAdmittedIn(Milliseconds span) const
+    // The most tokens admitted in any interval of this length.
+    double maximumAdmittedIn(Milliseconds span) const
     {
         double most = 0;
         double inSpan = 0;
@@ -114,14 +114,14 @@
         }
         return most;
     }
-    unsigned asked { 0 };
+    unsigned requested { 0 };
     unsigned refused { 0 };
     double demandFactor { 1 };
 
 private:
     struct Tick {
     };
-    struct Ask {
+    struct Arrival {
     };
     struct ZoneMessage {
         GroupSum sum {};
@@ -129,13 +129,13 @@
     struct FleetMessage {
         GroupSum sum {};
     };
-    using Message = std::variant<Tick, Ask, std::shared_ptr<const SuspectNews>, std::shared_ptr<const PeerRow>, std::shared_ptr<const ZoneMessage>, std::shared_ptr<const FleetMessage>>;
+    using Message = std::variant<Tick, Arrival, std::shared_ptr<const SuspectNews>, std::shared_ptr<const PeerRow>, std::shared_ptr<const ZoneMessage>, std::shared_ptr<const FleetMessage>>;
 
     struct Event {
         SteadyTime at {};
         std::uint64_t order { 0 };
         unsigned node { 0 };
-        std::uint64_t lifetime { 0 }; // Of the node; 0 for a message.
+        std::uint64_t lifetime { 0 }; // The node's incarnation that the event is for; 0 for a message.
         Message message {};
 
         bool operator<(const Event& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }
@@ -144,7 +144,7 @@
     void start(unsigned n)
     {
         auto& node = m_nodes[n];
-        node.up = true;
+        node.isUp = true;
         node.startedAt = m_now;
         node.sequence = 0;
         node.others.reset();
@@ -155,14 +155,14 @@
         node.limits->setFreshFor(m_options.period * 4);
         node.limits->setCautiousFor(m_options.period * 10);
         node.limits->setExpectedNodes(m_options.nodes);
-        // As the store's list names them.
+        // The initial contacts are those in the store's list of nodes.
         for (const auto& it : m_nodes)
             node.table->addContact({ .node = it.name, .lifetime = 0, .gossipAddress = it.address, .zone = it.zone }, m_now);
         push(n, Milliseconds(m_random() % 30), Tick {}, node.lifetime);
-        push(n, nextAsk(), Ask {}, node.lifetime);
+        push(n, nextArrival(), Arrival {}, node.lifetime);
     }
 
-    Milliseconds nextAsk() { return Milliseconds(static_cast<std::int64_t>(std::exponential_distribution<double>(m_options.requestsPerSecond * demandFactor)(m_random) * 1000) + 1); }
+    Milliseconds nextArrival() { return Milliseconds(static_cast<std::int64_t>(std::exponential_distribution<double>(m_options.requestsPerSecond * demandFactor)(m_random) * 1000) + 1); }
 
     void push(unsigned n, Milliseconds delay, Message message, std::uint64_t lifetime = 0)
     {
@@ -172,36 +172,36 @@
     void handle(const Event& event)
     {
         auto& node = m_nodes[event.node];
-        if (!node.up || (event.lifetime != 0 && event.lifetime != node.lifetime))
+        if (!node.isUp || (event.lifetime != 0 && event.lifetime != node.lifetime))
             return;
         if (std::holds_alternative<Tick>(event.message))
-            tick(event.node);
-        else if (std::holds_alternative<Ask>(event.message))
-            ask(event.node);
+            onTick(event.node);
+        else if (std::holds_alternative<Arrival>(event.message))
+            onArrival(event.node);
         else if (const auto* news = std::get_if<std::shared_ptr<const SuspectNews>>(&event.message)) {
             node.suspects->onNews(**news, m_now);
             if (node.suspects->takeWorthRelaying() && node.relay->isRelay(m_now))
-                tellSuspects(event.node);
+                sendSuspects(event.node);
         } else if (const auto* row = std::get_if<std::shared_ptr<const PeerRow>>(&event.message)) {
             if (node.table->apply(**row, m_now)) {
                 node.relay->onRow(**row, m_now);
                 node.suspects->onNews((*row)->suspects, m_now);
             }
         } else if (const auto* zone = std::get_if<std::shared_ptr<const ZoneMessage>>(&event.message))
-            node.relay->onZoneSum((*zone)->sum, m_now);
+            node.relay->onZoneAggregate((*zone)->sum, m_now);
         else if (const auto* fleet = std::get_if<std::shared_ptr<const FleetMessage>>(&event.message))
-            node.relay->onFleetSum((*fleet)->sum, m_now);
+            node.relay->onFleetAggregate((*fleet)->sum, m_now);
     }
 
-    void ask(unsigned n)
+    void onArrival(unsigned n)
     {
-        ++asked;
+        ++requested;
         auto& node = m_nodes[n];
         if (node.limits->admit(m_options.team, m_options.tokensPerRequest, m_now))
             ++refused;
         else
             m_admissions.push_back({ .at = m_now, .tokens = m_options.tokensPerRequest });
-        push(n, nextAsk(), Ask {}, node.lifetime);
+        push(n, nextArrival(), Arrival {}, node.lifetime);
     }
 
     std::vector<EndpointLoadReport> loadsOf(unsigned n) const
@@ -217,9 +217,9 @@
     static std::size_t bytesOf(const std::shared_ptr<const FleetMessage>& message) { return packMessage(MessageType::FleetSum, message->sum).payload.size(); }
     static std::size_t bytesOf(const std::shared_ptr<const SuspectNews>& news) { return packMessage(MessageType::SuspectNotice, *news).payload.size(); }
     static std::size_t bytesOf(Tick) { return 0; }
-    static std::size_t bytesOf(Ask) { return 0; }
+    static std::size_t bytesOf(Arrival) { return 0; }
 
-    void tick(unsigned n)
+    void onTick(unsigned n)
     {
         auto& node = m_nodes[n];
         node.table->forgetOld(m_now);
@@ -246,7 +246,7 @@
         push(n, node.relay->period(m_now), Tick {}, node.lifetime);
     }
 
-    void tellSuspects(unsigned n)
+    void sendSuspects(unsigned n)
     {
         auto& node = m_nodes[n];
         bool relays = node.relay->isRelay(m_now);
@@ -261,8 +261,8 @@
         for (const auto& it : receivers) {
             ++m_nodes[n].sent;
             unsigned to = it.port - 1U;
-            bool lost = std::uniform_real_distribution<double>(0, 1)(m_random) < m_options.lossPart;
-            if (!lost && !m_nodes[n].isCut && !m_nodes[to].isCut)
+            bool lost = std::uniform_real_distribution<double>(0, 1)(m_random) < m_options.lossFraction;
+            if (!lost && !m_nodes[n].isCutOff && !m_nodes[to].isCutOff)
                 push(to, Milliseconds(1 + m_random() % 5), message);
         }
     }
--- a/tests/modules/peers/test_fleet_relay.cpp
+++ b/tests/modules/peers/test_fleet_relay.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::seconds;
 
-// Of tokens a second over all nodes, with a burst of two seconds.
+// A team with a limit in tokens a second over all nodes, and a burst of two seconds.
 TrafficTeam team(double ratePerSecond)
 {
     TrafficTeam result;
@@ -19,22 +19,22 @@
     return result;
 }
 
-// What the platform lets pass in some eight seconds before it speaks of a broken limit: its allowances for lag included.
-double mostAllowed(double ratePerSecond)
+// Tokens that may be admitted in any eight seconds before the platform counts the limit as exceeded, including its allowances for lag.
+double maximumAllowed(double ratePerSecond)
 {
     constexpr double overshoot = 0.1;
     constexpr double slackTokens = 190000;
     return (8 * ratePerSecond + 2 * ratePerSecond) * (1 + overshoot) + slackTokens;
 }
 
-unsigned hearAll(FleetSimulation& fleet)
+unsigned nodesKnowingAll(FleetSimulation& fleet)
 {
     unsigned count = 0;
-    unsigned up = 0;
+    unsigned nodesUp = 0;
     for (const auto& it : fleet.nodes())
-        up += it.up && !it.isCut ? 1 : 0;
+        nodesUp += it.isUp && !it.isCutOff ? 1 : 0;
     for (const auto& it : fleet.nodes())
-        count += it.up && !it.isCut && it.others && it.others->sum.nodes + 1 == up ? 1 : 0;
+        count += it.isUp && !it.isCutOff && it.others && it.others->sum.nodes + 1 == nodesUp ? 1 : 0;
     return count;
 }
 
@@ -42,15 +42,16 @@
 
 BOOST_AUTO_TEST_SUITE(FleetRelayTests)
 
-// Before relays, a node of 295 heard a node of another zone once in eight seconds, and sent 160 messages a second.
-BOOST_AUTO_TEST_CASE(what_a_node_sends_stays_level_while_the_fleet_grows)
+// Guards against traffic growing with the fleet: without relay nodes, a node in a fleet of 295 received a row of a given node of another
+// zone once in eight seconds, and sent 160 messages a second.
+BOOST_AUTO_TEST_CASE(messages_per_node_do_not_grow_with_the_fleet)
 {
     for (unsigned nodes : { 30U, 300U, 1000U }) {
-        FleetSimulation fleet({ .nodes = nodes, .lossPart = 0 });
+        FleetSimulation fleet({ .nodes = nodes, .lossFraction = 0 });
         fleet.run(seconds(4));
         BOOST_TEST_CONTEXT(nodes << " nodes")
         {
-            BOOST_TEST(hearAll(fleet) == nodes);
+            BOOST_TEST(nodesKnowingAll(fleet) == nodes);
             std::uint64_t before = 0;
             for (const auto& it : fleet.nodes())
                 before += it.sent;
@@ -58,18 +59,19 @@
             std::uint64_t sent = 0;
             for (const auto& it : fleet.nodes())
                 sent += it.sent;
-            // Two rows each period, and what the relays send to their nodes.
+            // Two rows each period, and the relay nodes' aggregates.
             BOOST_TEST(static_cast<double>(sent - before) / nodes / 2 < 40.0);
             BOOST_TEST((nodes < 100 || static_cast<double>(sent - before) / nodes / 2 < 18.0));
         }
     }
 }
 
-// Every endpoint that was in use stood in each sum: with 3,000 of them the busiest relay of this fleet sent 4,110 KB a second, 767 KB now,
-// more than a node's link takes, and configurations and marks came seconds late behind that. The middle node sends 4.1 KB either way.
-BOOST_AUTO_TEST_CASE(what_is_told_does_not_grow_with_the_endpoints_in_use_or_leaving)
+// Guards against aggregates that list every endpoint in use: with 3,000 endpoints the busiest relay node of this fleet sent 4,110 KB a
+// second (767 KB with the limit on loads), more than a node's link carries, which delayed configurations and marks by seconds. The median
+// node sends 4.1 KB in both cases.
+BOOST_AUTO_TEST_CASE(bytes_sent_do_not_grow_with_the_endpoints_in_use_or_leaving)
 {
-    FleetSimulation fleet({ .nodes = 300, .zones = 4, .lossPart = 0, .endpointsUsed = 10, .endpoints = 3000, .countsBytes = true, .endpointsLeaving = 64 });
+    FleetSimulation fleet({ .nodes = 300, .zones = 4, .lossFraction = 0, .endpointsUsed = 10, .endpoints = 3000, .countsBytes = true, .endpointsLeaving = 64 });
     fleet.run(Milliseconds(4000));
     for (auto& it : fleet.nodes())
         it.sentBytes = 0;
@@ -81,24 +83,24 @@
     BOOST_TEST_MESSAGE("KB a second: middle " << kilobytesPerSecond[150] << ", busiest " << kilobytesPerSecond.back());
     BOOST_TEST(kilobytesPerSecond[150] < 15);
     BOOST_TEST(kilobytesPerSecond.back() < 1000);
-    // And the marks have reached every node.
+    // The marks of leaving endpoints have reached every node.
     for (const auto& it : fleet.nodes())
         BOOST_TEST(it.others->sum.leavingEndpoints.size() == 64U);
 }
 
-// What three nodes of one zone have found, by endpoints' answers alone, all nodes know within the time that news may take.
+// Marks that only three nodes of one zone have found reach all nodes within the time allowed for updates to spread.
 BOOST_AUTO_TEST_CASE(leaving_marks_reach_three_hundred_nodes_over_losses)
 {
     constexpr Milliseconds spreadTime { 3000 };
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        FleetSimulation fleet({ .nodes = 300, .seed = seed, .lossPart = 0.02, .endpointsLeaving = 64 });
+        FleetSimulation fleet({ .nodes = 300, .seed = seed, .lossFraction = 0.02, .endpointsLeaving = 64 });
         fleet.run(spreadTime);
-        auto knowing = std::count_if(fleet.nodes().begin(), fleet.nodes().end(), [](const auto& it) { return it.others && it.others->sum.leavingEndpoints.size() == 64U; });
-        BOOST_TEST(knowing == 300);
+        auto nodesInformed = std::count_if(fleet.nodes().begin(), fleet.nodes().end(), [](const auto& it) { return it.others && it.others->sum.leavingEndpoints.size() == 64U; });
+        BOOST_TEST(nodesInformed == 300);
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_heaviest_loads_are_told)
+BOOST_AUTO_TEST_CASE(the_heaviest_loads_are_kept)
 {
     std::map<ShortName, SummedLoad> loads;
     for (ShortName n = 0; n < 1000; ++n)
@@ -108,9 +110,9 @@
     BOOST_TEST(loads.begin()->first == 744U);
 }
 
-BOOST_AUTO_TEST_CASE(loads_add_up_without_the_own_ones)
+BOOST_AUTO_TEST_CASE(aggregated_loads_exclude_those_of_the_node_itself)
 {
-    FleetSimulation fleet({ .nodes = 120, .lossPart = 0 });
+    FleetSimulation fleet({ .nodes = 120, .lossFraction = 0 });
     fleet.run(seconds(5));
     for (const auto& node : fleet.nodes()) {
         unsigned inFlight = 0;
@@ -120,21 +122,22 @@
     }
 }
 
-// Before relays, 176 of 1,000 requests of a quiet day at 295 nodes were refused for a limit that their team had not reached.
-BOOST_AUTO_TEST_CASE(nobody_is_refused_below_the_limit)
+// Guards against refusals below the limit: without relay nodes, 176 of 1,000 requests at low load on 295 nodes were refused for a limit
+// that their team had not reached.
+BOOST_AUTO_TEST_CASE(no_request_is_refused_below_the_limit)
 {
     for (unsigned nodes : { 30U, 300U }) {
         FleetSimulation fleet({ .nodes = nodes, .team = team(nodes * 2 * 1000 * 1.25) });
         fleet.run(seconds(5));
-        fleet.asked = 0;
+        fleet.requested = 0;
         fleet.refused = 0;
         fleet.run(seconds(20));
         BOOST_TEST_CONTEXT(nodes << " nodes")
-        BOOST_TEST(fleet.refused * 100 < fleet.asked);
+        BOOST_TEST(fleet.refused * 100 < fleet.requested);
     }
 }
 
-BOOST_AUTO_TEST_CASE(above_the_limit_its_rate_is_let_through)
+BOOST_AUTO_TEST_CASE(above_the_limit_requests_are_admitted_at_its_rate)
 {
     for (double factor : { 2.0, 6.0 }) {
         auto limit = 300 * 2 * 1000 / factor;
@@ -147,33 +150,33 @@
         {
             BOOST_TEST(part > 0.9);
             BOOST_TEST(part < 1.05);
-            BOOST_TEST(fleet.mostAdmittedIn(seconds(8)) < mostAllowed(limit));
+            BOOST_TEST(fleet.maximumAdmittedIn(seconds(8)) < maximumAllowed(limit));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_limit_holds_while_relays_die_and_whole_fleets_start_anew)
+BOOST_AUTO_TEST_CASE(the_limit_holds_while_relay_nodes_fail_and_all_nodes_restart)
 {
     auto limit = 300 * 2 * 1000 / 3.0;
     for (std::uint64_t seed : { 1, 2 }) {
-        FleetSimulation fleet({ .nodes = 300, .seed = seed, .lossPart = 0.05, .team = team(limit) });
+        FleetSimulation fleet({ .nodes = 300, .seed = seed, .lossFraction = 0.05, .team = team(limit) });
         std::mt19937_64 random(seed);
         fleet.run(seconds(8));
         for (unsigned round = 0; round < 2; ++round) {
-            // Every relay, then every node.
+            // Kills all relay nodes; then restarts only these in the first round, and every node in the second.
             for (unsigned n = 0; n < 300; ++n) {
                 if (fleet.nodes()[n].relay->isRelay(fleet.now()))
                     fleet.kill(n);
             }
             fleet.run(Milliseconds(500 + random() % 4000));
             for (unsigned n = 0; n < 300; ++n) {
-                if (round % 2 == 1 || !fleet.nodes()[n].up)
+                if (round % 2 == 1 || !fleet.nodes()[n].isUp)
                     fleet.restart(n);
             }
             fleet.run(Milliseconds(3000 + random() % 4000));
         }
         BOOST_TEST_CONTEXT("seed " << seed)
-        BOOST_TEST(fleet.mostAdmittedIn(seconds(8)) < mostAllowed(limit));
+        BOOST_TEST(fleet.maximumAdmittedIn(seconds(8)) < maximumAllowed(limit));
     }
 }
 
@@ -182,15 +185,15 @@
     auto limit = 300 * 2 * 1000 / 3.0;
     FleetSimulation fleet({ .nodes = 300, .team = team(limit) });
     fleet.run(seconds(8));
-    // A whole zone, its nodes from each other too, and some more.
+    // Cuts off all nodes of one zone, from each other too, and every 17th node.
     for (unsigned n = 0; n < 300; ++n)
-        fleet.nodes()[n].isCut = n % 6 == 0 || n % 17 == 0;
+        fleet.nodes()[n].isCutOff = n % 6 == 0 || n % 17 == 0;
     fleet.run(seconds(12));
     for (auto& it : fleet.nodes())
-        it.isCut = false;
+        it.isCutOff = false;
     fleet.run(seconds(8));
-    BOOST_TEST(fleet.mostAdmittedIn(seconds(8)) < mostAllowed(limit));
-    BOOST_TEST(hearAll(fleet) == 300U);
+    BOOST_TEST(fleet.maximumAdmittedIn(seconds(8)) < maximumAllowed(limit));
+    BOOST_TEST(nodesKnowingAll(fleet) == 300U);
 }
 
 BOOST_AUTO_TEST_CASE(lost_relays_are_replaced_within_two_seconds)
@@ -206,22 +209,22 @@
     }
     BOOST_TEST(killed == 12U);
     fleet.run(seconds(4));
-    BOOST_TEST(hearAll(fleet) == 283U);
+    BOOST_TEST(nodesKnowingAll(fleet) == 283U);
 }
 
-// Until it has heard the others, a node spends only its own share of the teams' limits: with the usual period from the start on, the
-// nodes had heard of 150 others on average after half a second.
-BOOST_AUTO_TEST_CASE(a_fleet_that_starts_knows_itself_within_half_a_second)
+// Until it has received state of the others, a node admits only its own share of the teams' limits. With the usual period from the start
+// on, nodes knew 150 others on average after half a second.
+BOOST_AUTO_TEST_CASE(nodes_of_a_starting_fleet_know_nearly_all_others_within_half_a_second)
 {
     FleetSimulation fleet({ .nodes = 295 });
     fleet.run(Milliseconds(500));
-    double heard = 0;
+    double nodesKnown = 0;
     for (const auto& it : fleet.nodes())
-        heard += it.others ? it.others->sum.nodes : 0;
-    BOOST_TEST(heard / 295 > 280);
+        nodesKnown += it.others ? it.others->sum.nodes : 0;
+    BOOST_TEST(nodesKnown / 295 > 280);
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_no_fleet_can_have_are_refused)
+BOOST_AUTO_TEST_CASE(aggregates_with_values_out_of_range_are_not_sound)
 {
     GroupSum sum { .relay = { .node = "a" }, .nodes = 3, .teamTotals = { { "t", 5 } } };
     BOOST_TEST(sum.isSound());
--- a/tests/modules/peers/test_peer_table.cpp
+++ b/tests/modules/peers/test_peer_table.cpp
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_SUITE(PeerTableTests)
 
-BOOST_AUTO_TEST_CASE(only_newer_rows_count_whatever_order_they_come_in)
+BOOST_AUTO_TEST_CASE(only_newer_rows_are_applied_in_any_order_of_arrival)
 {
     PeerTable table("self");
     BOOST_TEST(table.apply(row("a", 1, 2), at(0)));
@@ -31,7 +31,7 @@
     BOOST_TEST(!table.apply(row("self", 1, 1), at(3)));
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_node_is_not_counted_on_and_forgotten_later)
+BOOST_AUTO_TEST_CASE(a_silent_node_is_not_alive_and_is_removed_later)
 {
     PeerTable table("self");
     table.apply(row("a", 1, 1), at(0));
@@ -43,7 +43,7 @@
     BOOST_TEST(table.contacts().empty());
 }
 
-BOOST_AUTO_TEST_CASE(usage_of_a_life_that_ended_still_counts)
+BOOST_AUTO_TEST_CASE(usage_of_an_ended_incarnation_still_counts)
 {
     PeerTable table("self");
     table.applyUsage({ .node = "a", .lifetime = 1, .windows = { { 7, { { "t", 3 } } } } }, at(0));
@@ -51,9 +51,9 @@
     BOOST_TEST(table.usage()[7]["t"] == 7U);
 }
 
-// Found by the bench: at 77 nodes each told all its windows at once, every second, and a holder of the duties on a narrow link lost a
-// third to a half of it.
-BOOST_AUTO_TEST_CASE(usage_that_is_left_out_or_comes_late_stays_as_told)
+// Usage notices may leave out windows: when each of 77 nodes sent all its windows every second, a lease holder of the singleton duties on a
+// narrow link lost a third to a half of that data.
+BOOST_AUTO_TEST_CASE(windows_left_out_or_outdated_in_a_notice_keep_their_counts)
 {
     PeerTable table("self");
     table.applyUsage({ .node = "a", .lifetime = 1, .windows = { { 7, { { "t", 3 } } }, { 8, { { "t", 1 } } } } }, at(0));
@@ -76,8 +76,8 @@
     BOOST_TEST(PeerTable("alone").clockDifference(5, at(0)) == 5);
 }
 
-// Found by reading: a time is worked out from what a datagram says, and not every number gives one.
-BOOST_AUTO_TEST_CASE(a_prompt_of_no_possible_size_is_refused)
+// Guards against token counts from a datagram for which no prefill time can be computed.
+BOOST_AUTO_TEST_CASE(a_prefill_notice_with_an_impossible_token_count_is_not_sound)
 {
     BOOST_TEST((PrefillNotice { .endpoint = { .id = "i" }, .tokens = 54600 }.isSound()));
     for (double tokens : { -1.0, 1e30, std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN() })
