--- a/modules/admission/admission_control.cpp
+++ b/modules/admission/admission_control.cpp
@@ -8,21 +8,21 @@
 namespace {
 
     constexpr double millisecondsPerSecond = 1000;
-    constexpr Milliseconds overloadRetry { 1000 };
+    constexpr Milliseconds overloadRetryDelay { 1000 };
 
 } // namespace
 
 TokenBucket::TokenBucket(double ratePerSecond, SteadyTime now)
     : m_rate(ratePerSecond)
     , m_tokens(std::max(1.0, ratePerSecond))
-    , m_updated(now)
+    , m_updatedAt(now)
 {
 }
 
 std::optional<Milliseconds> TokenBucket::take(SteadyTime now)
 {
-    auto elapsed = std::chrono::duration<double>(now - m_updated).count();
-    m_updated = now;
+    auto elapsed = std::chrono::duration<double>(now - m_updatedAt).count();
+    m_updatedAt = now;
     m_tokens = std::min(std::max(1.0, m_rate), m_tokens + std::max(0.0, elapsed) * m_rate);
     if (m_tokens >= 1) {
         m_tokens -= 1;
@@ -37,22 +37,22 @@
 RetryBudget::RetryBudget(double retriesPerRequest, double burst)
     : m_retriesPerRequest(retriesPerRequest)
     , m_burst(burst)
-    , m_balance(burst)
+    , m_remaining(burst)
 {
 }
 
 void RetryBudget::onRequest()
 {
     std::lock_guard lock(m_mutex);
-    m_balance = std::min(m_burst, m_balance + m_retriesPerRequest);
+    m_remaining = std::min(m_burst, m_remaining + m_retriesPerRequest);
 }
 
 bool RetryBudget::takeRetry()
 {
     std::lock_guard lock(m_mutex);
-    if (m_balance < 1)
+    if (m_remaining < 1)
         return false;
-    m_balance -= 1;
+    m_remaining -= 1;
     return true;
 }
 
@@ -67,7 +67,7 @@
     if (request.priority <= 0)
         limit -= std::min(limit, m_options.reservedForHigherPriority);
     if (request.active >= limit)
-        return Refusal { .reason = "this node runs as many requests as it may", .retryAfter = overloadRetry };
+        return Refusal { .reason = "this node runs as many requests as it may", .retryAfter = overloadRetryDelay };
     if (request.teamRatePerSecond <= 0)
         return std::nullopt;
     auto share = request.teamRatePerSecond / std::max(1U, request.nodes);
--- a/modules/admission/admission_control.h
+++ b/modules/admission/admission_control.h
@@ -1,4 +1,6 @@
-// Decides whether a node takes a request now: limits by team, a limit for the node, and room kept for higher priorities.
+// Admits or refuses a request at one node: applies the node's limit of concurrent requests, the part of it that is reserved for teams
+// with a priority above 0, and the rate limit of the request's team. `AdmissionControl` and `RetryBudget` lock internally and may be used
+// by several threads.
 #pragma once
 
 #include "core/clock.h"
@@ -10,12 +12,13 @@
 
 namespace Onyxnotch {
 
-// A rate limit that allows bursts of a second's worth. A pure value: the time is passed in.
+// A token bucket that starts full and stores up to one second of its rate, but at least one token. Not thread-safe; the current time is
+// passed in.
 class TokenBucket {
 public:
     TokenBucket(double ratePerSecond, SteadyTime now);
 
-    // Takes one token. Returns the time until there will be one where there is none.
+    // Takes one token. Returns nothing on success, or the time until the next token is available.
     std::optional<Milliseconds> take(SteadyTime now);
     void setRate(double ratePerSecond);
     double rate() const { return m_rate; }
@@ -23,40 +26,40 @@
 private:
     double m_rate;
     double m_tokens;
-    SteadyTime m_updated {};
+    SteadyTime m_updatedAt {};
 };
 
-// Retries that are allowed: a part of the first tries, so that a wave of failures does not multiply the load.
+// Limits retries to `retriesPerRequest` per request plus an initial `burst`, so that a wave of failures does not multiply the load.
 class RetryBudget {
 public:
     explicit RetryBudget(double retriesPerRequest = 0.2, double burst = 10);
 
     void onRequest();
-    // Returns false where the budget is used up.
+    // Returns false if the budget is exhausted.
     bool takeRetry();
 
 private:
     std::mutex m_mutex;
     double m_retriesPerRequest;
     double m_burst;
-    double m_balance;
+    double m_remaining;
 };
 
 struct AdmissionOptions {
-    unsigned maximumActive { 1800 }; // Requests that run at once on this node.
-    unsigned reservedForHigherPriority { 100 }; // Of those, kept for teams with a priority over 0.
+    unsigned maximumActive { 1800 }; // Maximum number of requests that run concurrently on this node.
+    unsigned reservedForHigherPriority { 100 }; // Part of `maximumActive` that only teams with a priority above 0 may use.
     std::size_t maximumTeams { 10000 };
 };
 
 struct AdmissionRequest {
     std::string team {};
-    double teamRatePerSecond { 0 }; // The team's limit over all nodes; 0 for none.
-    unsigned nodes { 1 }; // Over which the limit is divided.
+    double teamRatePerSecond { 0 }; // The team's limit in requests per second over all nodes; 0 for no limit.
+    unsigned nodes { 1 }; // Number of nodes that share the team's limit evenly.
     int priority { 0 };
-    unsigned active { 0 }; // Requests that run on this node now.
+    unsigned active { 0 }; // Number of requests that run on this node now.
 };
 
-// Why a request is not taken, and when to come back.
+// Why a request was refused, and after which delay the client may retry.
 struct Refusal {
     std::string reason {};
     Milliseconds retryAfter { 0 };
@@ -68,7 +71,7 @@
 public:
     explicit AdmissionControl(const AdmissionOptions&);
 
-    // Empty where the request is taken.
+    // Returns nothing if the request is admitted.
     std::optional<Refusal> admit(const AdmissionRequest&, SteadyTime now);
 
 private:
--- a/modules/admission/deadline_admission.cpp
+++ b/modules/admission/deadline_admission.cpp
@@ -6,13 +6,14 @@
 
 bool canBeOnTime(const DeadlineRequest& request, const DeadlineAdmissionOptions& options)
 {
-    auto wait = request.expectedSeconds - request.unqueuedSeconds;
-    auto spare = std::max(request.objectiveSeconds - request.unqueuedSeconds, request.objectiveSeconds * options.leastWaitPart);
-    if (wait > spare)
+    auto expectedWait = request.expectedSeconds - request.unqueuedSeconds;
+    auto allowedWait = std::max(request.objectiveSeconds - request.unqueuedSeconds, request.objectiveSeconds * options.minWaitShare);
+    if (expectedWait > allowedWait)
         return false;
-    // A long wait at one endpoint is no shortage: it may be where the least of the prompt has to be read.
-    auto room = request.moreUrgent > 0 ? std::min(spare, request.moreUrgentObjectiveSeconds) : spare;
-    return request.leastWaitSeconds <= room / (1 + request.moreUrgent);
+    // Only the shortest wait of the service indicates a shortage. A longer wait at the selected endpoint may have been accepted because
+    // that endpoint has the largest part of the prompt cached.
+    auto sharedWait = request.moreUrgent > 0 ? std::min(allowedWait, request.moreUrgentObjectiveSeconds) : allowedWait;
+    return request.leastWaitSeconds <= sharedWait / (1 + request.moreUrgent);
 }
 
 } // namespace Onyxnotch
--- a/modules/admission/deadline_admission.h
+++ b/modules/admission/deadline_admission.h
@@ -1,27 +1,28 @@
-// Whether a request is taken now, where its service has more to do than it can do in time: a pure decision.
-//
-// While a service is short of endpoints, taking everything makes everything late. So what would wait too long is refused at once, and the
-// less urgent a request is, the less it may wait: then the endpoints never have a backlog that makes the more urgent ones late. Where
-// nothing waits at the best endpoint, everything is taken.
+// Decides whether a request is admitted while its service is overloaded. A pure function without state.
+// If an overloaded service admits every request, all of them miss their latency objective. A request that would wait too long is
+// therefore refused immediately, and the allowed wait shrinks with the number of more urgent kinds of request, so that the backlog at the
+// endpoints does not delay these. Until its objective has passed, a request is always admitted if its expected wait and the shortest wait
+// of its service are 0.
 #pragma once
 
 namespace Onyxnotch {
 
 struct DeadlineAdmissionOptions {
-    // Of its objective that a request may wait, also where its own prompt leaves less: its answer will be late, and is worth something.
-    double leastWaitPart { 0.25 };
+    // Share of its objective that a request may always wait, even if processing its own prompt leaves less time: the answer is late then,
+    // but still useful.
+    double minWaitShare { 0.25 };
 };
 
 struct DeadlineRequest {
-    double expectedSeconds { 0 }; // To the first byte, at the endpoint that was chosen.
-    double unqueuedSeconds { 0 }; // Of these, if nothing else were there.
-    double leastWaitSeconds { 0 }; // At the endpoint of the service with the shortest wait, which need not be the one that was chosen.
-    double objectiveSeconds { 0 }; // What is left of it.
-    unsigned moreUrgent { 0 }; // Kinds of request that the service also has and that are more urgent than this one,
-    double moreUrgentObjectiveSeconds { 0 }; // and the shortest objective of them; without any, not looked at.
+    double expectedSeconds { 0 }; // Expected time to the first byte of the answer, at the selected endpoint.
+    double unqueuedSeconds { 0 }; // Part of `expectedSeconds` that would remain if the endpoint had no other requests.
+    double leastWaitSeconds { 0 }; // Shortest wait of all endpoints of the service, not necessarily that of the selected endpoint.
+    double objectiveSeconds { 0 }; // Time left until the request misses its latency objective.
+    unsigned moreUrgent { 0 }; // Number of kinds of request of the same service that are more urgent than this one.
+    double moreUrgentObjectiveSeconds { 0 }; // Shortest objective of the more urgent kinds; ignored if `moreUrgent` is 0.
 };
 
-// False where it should be refused.
+// Returns false if the request should be refused.
 bool canBeOnTime(const DeadlineRequest&, const DeadlineAdmissionOptions& options = {});
 
 } // namespace Onyxnotch
--- a/modules/limits/endpoint_credits.cpp
+++ b/modules/limits/endpoint_credits.cpp
@@ -11,44 +11,44 @@
 
 } // namespace
 
-double EndpointCredits::filled(const Bucket& bucket) const { return std::max(bucket.perSecond, m_options.leastPerSecond) * m_speakingPart; }
+double EndpointCredits::creditsPerSecond(const Bucket& bucket) const { return std::max(bucket.perSecond, m_options.minCreditsPerSecond) * m_reachableShare; }
 
-double EndpointCredits::mostSaved(const Bucket& bucket) const { return m_options.savedRequests + m_options.savedSeconds * filled(bucket); }
+double EndpointCredits::maxLevel(const Bucket& bucket) const { return m_options.burstCredits + m_options.burstSeconds * creditsPerSecond(bucket); }
 
 double EndpointCredits::levelAt(const Bucket& bucket, SteadyTime now) const
 {
-    return std::min(mostSaved(bucket), bucket.level + filled(bucket) * secondsOf(now - bucket.updatedAt));
+    return std::min(maxLevel(bucket), bucket.level + creditsPerSecond(bucket) * secondsOf(now - bucket.updatedAt));
 }
 
-void EndpointCredits::drain(Bucket& bucket, double credits, SteadyTime now) const
+void EndpointCredits::charge(Bucket& bucket, double credits, SteadyTime now) const
 {
-    auto leastLevel = -std::max(1.0, m_options.longestDebtSeconds * filled(bucket));
-    bucket.level = std::max(leastLevel, levelAt(bucket, now) - credits);
+    auto minLevel = -std::max(1.0, m_options.maxDebtSeconds * creditsPerSecond(bucket));
+    bucket.level = std::max(minLevel, levelAt(bucket, now) - credits);
     bucket.updatedAt = now;
 }
 
-double EndpointCredits::ownAsks(const Bucket& bucket, SteadyTime now) const
+double EndpointCredits::ownRequestRate(const Bucket& bucket, SteadyTime now) const
 {
-    return bucket.asksPerSecond * std::exp(-secondsOf(now - bucket.askedAt) / secondsOf(m_options.askMemory));
+    return bucket.creditRequestsPerSecond * std::exp(-secondsOf(now - bucket.requestedAt) / secondsOf(m_options.requestRateDecay));
 }
 
-double EndpointCredits::allAsks(std::uint64_t endpoint, const Bucket& bucket, SteadyTime now) const
+double EndpointCredits::totalRequestRate(std::uint64_t endpoint, const Bucket& bucket, SteadyTime now) const
 {
-    auto asks = ownAsks(bucket, now);
+    auto creditRequests = ownRequestRate(bucket, now);
     for (const auto& [node, peer] : m_peers) {
         auto it = peer.uses.find(endpoint);
-        if (it != peer.uses.end() && now - peer.heardAt <= m_options.freshFor)
-            asks += it->second.asksPerSecond;
+        if (it != peer.uses.end() && now - peer.receivedAt <= m_options.freshFor)
+            creditRequests += it->second.creditRequestsPerSecond;
     }
-    return asks;
+    return creditRequests;
 }
 
 void EndpointCredits::setLimit(const EndpointLife& life, std::optional<double> perSecond, SteadyTime now)
 {
     auto [it, isNew] = m_buckets.try_emplace(hashOf(life), Bucket { .updatedAt = now, .startedAt = now });
     auto& bucket = it->second;
-    // What was filled at the rate before stays.
-    drain(bucket, 0, now);
+    // Applies the previous rate up to now, before the new rate takes effect.
+    charge(bucket, 0, now);
     bucket.isLimited = perSecond.has_value();
     bucket.perSecond = perSecond.value_or(bucket.perSecond);
 }
@@ -61,26 +61,26 @@
         peer.uses.erase(endpoint);
 }
 
-bool EndpointCredits::take(const EndpointLife& life, double asks, SteadyTime now)
+bool EndpointCredits::take(const EndpointLife& life, double creditRequests, SteadyTime now)
 {
     auto it = m_buckets.find(hashOf(life));
     if (it == m_buckets.end() || !it->second.isLimited)
         return true;
     auto& bucket = it->second;
-    bucket.asksPerSecond = ownAsks(bucket, now) + asks / secondsOf(m_options.askMemory);
-    bucket.askedAt = now;
-    if (bucket.spare > 0 && now < bucket.spareUntil) {
-        --bucket.spare;
+    bucket.creditRequestsPerSecond = ownRequestRate(bucket, now) + creditRequests / secondsOf(m_options.requestRateDecay);
+    bucket.requestedAt = now;
+    if (bucket.returnedCredits > 0 && now < bucket.returnedCreditsExpireAt) {
+        --bucket.returnedCredits;
         return true;
     }
     auto level = levelAt(bucket, now);
     if (level < 1)
         return false;
-    auto asksUntilNews = std::max(allAsks(it->first, bucket, now), m_options.leastAsksPerSecond) * secondsOf(m_options.newsTime);
-    if (std::uniform_real_distribution<double>(0, std::max(level, asksUntilNews))(m_random) > level)
+    auto requestsUntilReported = std::max(totalRequestRate(it->first, bucket, now), m_options.minCreditRequestsPerSecond) * secondsOf(m_options.propagationTime);
+    if (std::uniform_real_distribution<double>(0, std::max(level, requestsUntilReported))(m_random) > level)
         return false;
-    drain(bucket, 1, now);
-    ++bucket.given;
+    charge(bucket, 1, now);
+    ++bucket.granted;
     return true;
 }
 
@@ -90,55 +90,55 @@
     if (it == m_buckets.end())
         return;
     auto& bucket = it->second;
-    bucket.spare = now < bucket.spareUntil ? bucket.spare + 1 : 1;
-    bucket.spareUntil = now + m_options.spareFor;
+    bucket.returnedCredits = now < bucket.returnedCreditsExpireAt ? bucket.returnedCredits + 1 : 1;
+    bucket.returnedCreditsExpireAt = now + m_options.returnedCreditLifetime;
 }
 
-SteadyTime EndpointCredits::nextAt(const EndpointLife& life, SteadyTime now) const
+SteadyTime EndpointCredits::nextCreditAt(const EndpointLife& life, SteadyTime now) const
 {
     auto it = m_buckets.find(hashOf(life));
-    if (it == m_buckets.end() || !it->second.isLimited || (it->second.spare > 0 && now < it->second.spareUntil))
+    if (it == m_buckets.end() || !it->second.isLimited || (it->second.returnedCredits > 0 && now < it->second.returnedCreditsExpireAt))
         return now;
     auto missing = 1 - levelAt(it->second, now);
     if (missing <= 0)
         return now;
-    return now + std::chrono::ceil<Milliseconds>(std::chrono::duration<double>(missing / filled(it->second)));
+    return now + std::chrono::ceil<Milliseconds>(std::chrono::duration<double>(missing / creditsPerSecond(it->second)));
 }
 
-std::vector<CreditUse> EndpointCredits::takeUses(std::size_t most, SteadyTime now)
+std::vector<CreditUse> EndpointCredits::nextUsesToSend(std::size_t maxCount, SteadyTime now)
 {
     std::vector<CreditUse> uses;
-    auto it = m_buckets.upper_bound(m_lastTold);
-    for (std::size_t n = 0; n < m_buckets.size() && uses.size() < most; ++n, ++it) {
+    auto it = m_buckets.upper_bound(m_lastSent);
+    for (std::size_t n = 0; n < m_buckets.size() && uses.size() < maxCount; ++n, ++it) {
         if (it == m_buckets.end())
             it = m_buckets.begin();
-        m_lastTold = it->first;
+        m_lastSent = it->first;
         if (it->second.isLimited)
-            uses.push_back({ .endpoint = it->first, .given = it->second.given, .asksPerSecond = ownAsks(it->second, now) });
+            uses.push_back({ .endpoint = it->first, .granted = it->second.granted, .creditRequestsPerSecond = ownRequestRate(it->second, now) });
     }
     return uses;
 }
 
-void EndpointCredits::onUses(const std::string& node, std::uint64_t lifetime, const std::vector<CreditUse>& uses, SteadyTime now)
+void EndpointCredits::onPeerUses(const std::string& node, std::uint64_t lifetime, const std::vector<CreditUse>& uses, SteadyTime now)
 {
     auto& peer = m_peers[node];
     if (lifetime < peer.lifetime)
         return;
-    // What a new life has given is all new.
-    bool isNewLife = peer.lifetime != 0 && lifetime > peer.lifetime;
-    if (isNewLife)
+    // The counters of a new incarnation start at 0, so its first report counts in full.
+    bool isNewIncarnation = peer.lifetime != 0 && lifetime > peer.lifetime;
+    if (isNewIncarnation)
         peer.uses.clear();
     peer.lifetime = lifetime;
-    peer.heardAt = now;
+    peer.receivedAt = now;
     for (const auto& it : uses) {
         auto found = m_buckets.find(it.endpoint);
         if (found == m_buckets.end() || !it.isSound())
             continue;
-        auto [known, isFirst] = peer.uses.try_emplace(it.endpoint);
-        bool isOfBefore = isFirst && !isNewLife && now - found->second.startedAt < m_options.startTime;
-        if (!isOfBefore && it.given > known->second.given)
-            drain(found->second, static_cast<double>(it.given - known->second.given), now);
-        known->second = { .given = std::max(it.given, known->second.given), .asksPerSecond = it.asksPerSecond };
+        auto [use, isFirst] = peer.uses.try_emplace(it.endpoint);
+        bool predatesBucket = isFirst && !isNewIncarnation && now - found->second.startedAt < m_options.startupPeriod;
+        if (!predatesBucket && it.granted > use->second.granted)
+            charge(found->second, static_cast<double>(it.granted - use->second.granted), now);
+        use->second = { .granted = std::max(it.granted, use->second.granted), .creditRequestsPerSecond = it.creditRequestsPerSecond };
     }
 }
 
--- a/modules/limits/endpoint_credits.h
+++ b/modules/limits/endpoint_credits.h
@@ -1,7 +1,8 @@
-// What limited endpoints take, shared by the nodes that give credits for it: a credit is one request. Each of them has a bucket for each
-// such endpoint that fills at the whole rate and is drained by what all of them give, its own at once and the others' as they tell. What
-// they have not told yet nobody can see: where many ask, each ask gets a credit by chance, so that all together are expected to give no more
-// than there is until they hear of each other. A pure state machine, with the time passed in.
+// Grants credits for endpoints that advertise a rate limit; one credit permits one request. Each node that grants credits has a token
+// bucket per limited endpoint. The bucket fills at the endpoint's complete rate, and is charged for the node's own grants immediately and
+// for those of the other nodes when their reports arrive. Grants that have not been reported yet are unknown. If the expected requests
+// within the propagation time exceed the bucket's level, a request is granted a credit only with a probability, so that all nodes
+// together are expected to grant no more than is available. A pure state machine; the current time is passed in. Not thread-safe.
 #pragma once
 
 #include "core/clock.h"
@@ -15,39 +16,41 @@
 namespace Onyxnotch {
 
 struct EndpointCreditsOptions {
-    // What is saved up while nobody asks.
-    double savedRequests { 1.3 };
-    double savedSeconds { 0.7 }; // Of the rate, beyond that.
-    // Within which what one node gives is known to the others: they are told at once, and may be busy.
-    Milliseconds newsTime { 100 };
-    Milliseconds askMemory { 500 }; // Asks are counted over such a time.
-    // At least so many a second are expected: those of endpoints that are lost or named a limit as well come in the same moment.
-    double leastAsksPerSecond { 30 };
-    double longestDebtSeconds { 4 }; // Of the rate, that an overshoot is paid back for.
-    Milliseconds freshFor { 1500 }; // For so long a node's asks count as told.
-    // A node that begins to count cannot tell what others gave before, from what they give now.
-    Milliseconds startTime { 500 };
-    Milliseconds spareFor { 500 }; // A credit that was given back may be used by another request for so long.
-    // An endpoint that takes nothing is asked this often all the same: nobody would hear otherwise that it takes something again.
-    double leastPerSecond { 0.1 };
+    // Bucket size: credits that accumulate while there are no requests.
+    double burstCredits { 1.3 };
+    double burstSeconds { 0.7 }; // Additional bucket size, in seconds of the rate.
+    // Time within which the other nodes receive a report of a grant: it is sent immediately, but the nodes may be busy.
+    Milliseconds propagationTime { 100 };
+    Milliseconds requestRateDecay { 500 }; // Time constant of the exponential decay of the measured request rate.
+    // Lower bound of the expected request rate over all nodes: when endpoints fail or advertise a limit as well, their requests all move
+    // here at the same moment.
+    double minCreditRequestsPerSecond { 30 };
+    double maxDebtSeconds { 4 }; // Maximum debt after an overshoot, in seconds of the rate.
+    Milliseconds freshFor { 1500 }; // The request rate that another node reported is used for this duration after its last report.
+    // A new bucket isn't charged for the first report of another node within this period: the report doesn't say how many of its credits
+    // were granted before the bucket existed.
+    Milliseconds startupPeriod { 500 };
+    Milliseconds returnedCreditLifetime { 500 }; // A returned credit may be used by another request for this duration.
+    // Lower bound of the credit rate: without any request, no node would learn that an endpoint with a limit of 0 has raised it.
+    double minCreditsPerSecond { 0.1 };
 };
 
-// What a node tells of its credits for one endpoint.
+// What a node reports to the others about its credits for one endpoint.
 struct CreditUse {
-    std::uint64_t endpoint { 0 }; // The hash of its life.
-    std::uint64_t given { 0 }; // In this life of the node; only grows.
-    double asksPerSecond { 0 };
+    std::uint64_t endpoint { 0 }; // Hash of the endpoint's incarnation.
+    std::uint64_t granted { 0 }; // Credits granted by this incarnation of the node; never decreases.
+    double creditRequestsPerSecond { 0 };
 
     bool operator==(const CreditUse&) const = default;
 
     bool isSound() const
     {
-        constexpr double mostAsks = 1e9;
-        return asksPerSecond >= 0 && asksPerSecond <= mostAsks;
+        constexpr double maxRequestsPerSecond = 1e9;
+        return creditRequestsPerSecond >= 0 && creditRequestsPerSecond <= maxRequestsPerSecond;
     }
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(endpoint, given, asksPerSecond); }
+    void serialize(Archive& archive) { archive(endpoint, granted, creditRequestsPerSecond); }
 };
 
 class EndpointCredits {
@@ -58,22 +61,24 @@
     {
     }
 
-    // From now on; empty: it takes everything.
+    // Sets the endpoint's limit as of `now`; no value means unlimited.
     void setLimit(const EndpointLife&, std::optional<double> perSecond, SteadyTime now);
     void forget(const EndpointLife&);
-    // A request is to be sent there; `asks` have wanted it since the last call. Returns whether it may.
-    bool take(const EndpointLife&, double asks, SteadyTime now);
-    // It was not sent.
+    // Takes a credit for one request to the endpoint. `creditRequests` is the number of new credit requests since the last call, for the
+    // measured rate. Returns true if the request may be sent.
+    bool take(const EndpointLife&, double creditRequests, SteadyTime now);
+    // Returns a credit whose request was not sent.
     void giveBack(const EndpointLife&, SteadyTime now);
-    // When there should be a credit; not later than `now` where there is one.
-    SteadyTime nextAt(const EndpointLife&, SteadyTime now) const;
-    // For nodes that are farther apart, or nearer.
-    void setNewsTime(Milliseconds newsTime) { m_options.newsTime = newsTime; }
-    // Of the nodes that were there lately, those that speak. What the others give is not seen, and is left to them.
-    void setSpeakingPart(double part) { m_speakingPart = part; }
-    // Of the endpoints that are limited, at most so many: others each time.
-    std::vector<CreditUse> takeUses(std::size_t most, SteadyTime now);
-    void onUses(const std::string& node, std::uint64_t lifetime, const std::vector<CreditUse>&, SteadyTime now);
+    // Expected time of the next credit; `now` if one is available or none is needed.
+    SteadyTime nextCreditAt(const EndpointLife&, SteadyTime now) const;
+    // Sets the propagation time, which depends on the distance between the nodes.
+    void setNewsTime(Milliseconds propagationTime) { m_options.propagationTime = propagationTime; }
+    // Sets the share of recently known nodes that are reachable, between 0 and 1. Grants of the unreachable nodes are unknown, so the
+    // rate is reduced to this share.
+    void setSpeakingPart(double share) { m_reachableShare = share; }
+    // Returns the state of at most `maxCount` limited endpoints to send to other nodes. Successive calls rotate through all of them.
+    std::vector<CreditUse> nextUsesToSend(std::size_t maxCount, SteadyTime now);
+    void onPeerUses(const std::string& node, std::uint64_t lifetime, const std::vector<CreditUse>&, SteadyTime now);
 
 private:
     struct Bucket {
@@ -82,37 +87,37 @@
         double level { 0 };
         SteadyTime updatedAt {};
         SteadyTime startedAt {};
-        double asksPerSecond { 0 }; // Of this node, fading.
-        SteadyTime askedAt {};
-        std::uint64_t given { 0 };
-        unsigned spare { 0 };
-        SteadyTime spareUntil {};
+        double creditRequestsPerSecond { 0 }; // Requests at this node, decayed exponentially since `requestedAt`.
+        SteadyTime requestedAt {};
+        std::uint64_t granted { 0 };
+        unsigned returnedCredits { 0 };
+        SteadyTime returnedCreditsExpireAt {};
     };
 
     struct PeerUse {
-        std::uint64_t given { 0 };
-        double asksPerSecond { 0 };
+        std::uint64_t granted { 0 };
+        double creditRequestsPerSecond { 0 };
     };
 
     struct Peer {
         std::uint64_t lifetime { 0 };
-        SteadyTime heardAt {};
+        SteadyTime receivedAt {};
         std::map<std::uint64_t, PeerUse> uses {};
     };
 
-    double filled(const Bucket&) const; // A second.
-    double mostSaved(const Bucket&) const;
+    double creditsPerSecond(const Bucket&) const; // Credits per second.
+    double maxLevel(const Bucket&) const;
     double levelAt(const Bucket&, SteadyTime now) const;
-    double ownAsks(const Bucket&, SteadyTime now) const;
-    double allAsks(std::uint64_t endpoint, const Bucket&, SteadyTime now) const;
-    void drain(Bucket&, double credits, SteadyTime now) const;
+    double ownRequestRate(const Bucket&, SteadyTime now) const;
+    double totalRequestRate(std::uint64_t endpoint, const Bucket&, SteadyTime now) const;
+    void charge(Bucket&, double credits, SteadyTime now) const;
 
     EndpointCreditsOptions m_options;
     std::mt19937_64 m_random;
-    double m_speakingPart { 1 };
-    std::map<std::uint64_t, Bucket> m_buckets {}; // By the hash of the life.
+    double m_reachableShare { 1 };
+    std::map<std::uint64_t, Bucket> m_buckets {}; // Keyed by the hash of the endpoint's incarnation.
     std::map<std::string, Peer> m_peers {};
-    std::uint64_t m_lastTold { 0 };
+    std::uint64_t m_lastSent { 0 };
 };
 
 } // namespace Onyxnotch
--- a/modules/limits/endpoint_limits.h
+++ b/modules/limits/endpoint_limits.h
@@ -1,5 +1,6 @@
-// The endpoints that named a limit, as one node knows them: what they said, and the credit that requests to them need. A node gives credits
-// itself, or asks another one that does (in a large fleet, a relay of its availability zone). Belongs to the request thread.
+// Rate limits that endpoints advertise, as known to one node, and the credits that requests to these endpoints need. A node grants
+// credits itself or requests them from another node (in a large fleet, from a relay node of its availability zone). Used by the request
+// thread only.
 #pragma once
 
 #include "modules/limits/endpoint_credits.h"
@@ -7,7 +8,7 @@
 
 namespace Onyxnotch {
 
-// What nodes tell each other of limited endpoints.
+// Message between nodes with advertised limits and granted credits.
 struct LimitNews {
     std::string node {};
     std::uint64_t lifetime { 0 };
@@ -21,59 +22,61 @@
 };
 
 struct EndpointLimitsOptions {
-    LimitWordsOptions words {};
+    AdvertisedLimitsOptions words {};
     EndpointCreditsOptions credits {};
-    // In one message: some four and three kilobytes. Of more, others are told each time.
+    // Maximum entries of one message, about 4 kB and 3 kB. If there are more, successive messages rotate through them.
     std::size_t wordsTold { 64 };
-    std::size_t usesTold { 128 };
-    // A word from further ahead is of a node whose clock is wrong, and would hold against all that are said until then.
-    std::uint64_t aheadMilliseconds { 500 };
+    std::size_t usesPerMessage { 128 };
+    // An advertised limit whose timestamps lie further in the future than this comes from a node with a wrong clock, and is ignored: it
+    // would override all limits that are advertised until then.
+    std::uint64_t maxClockLeadMilliseconds { 500 };
 };
 
 class EndpointLimits {
 public:
     explicit EndpointLimits(const EndpointLimitsOptions& options = {}, std::uint64_t seed = std::random_device {}())
         : m_options(options)
-        , m_words(options.words)
+        , m_limits(options.words)
         , m_credits(options.credits, seed)
     {
     }
 
-    // Returns whether what is in force has changed.
+    // Records an advertised limit. Returns true if the limit in force changed.
     bool hear(const LimitWord&, SteadyTime now);
-    // The same of what another node heard and gave. `fleetMilliseconds`: the fleet's time, now.
+    // Records the advertised limits and the granted credits that another node reports. `fleetMilliseconds` is the current time on the
+    // clock that the fleet agrees on. Returns true if a limit in force changed.
     bool onNews(const LimitNews&, std::uint64_t fleetMilliseconds, SteadyTime now);
-    bool knows(const EndpointLife& life) const { return m_words.knows(life); }
-    std::optional<LimitWord> word(const EndpointLife& life) const { return m_words.find(life); }
-    std::optional<double> perSecond(const EndpointLife& life) const { return m_words.perSecond(life); }
-    bool isLimited(const EndpointLife& life) const { return m_words.perSecond(life).has_value(); }
-    std::size_t limited() const { return m_words.limited(); }
-    bool isEmpty() const { return m_words.isEmpty(); }
+    bool knows(const EndpointLife& life) const { return m_limits.hasEntry(life); }
+    std::optional<LimitWord> word(const EndpointLife& life) const { return m_limits.find(life); }
+    std::optional<double> perSecond(const EndpointLife& life) const { return m_limits.perSecond(life); }
+    bool isLimited(const EndpointLife& life) const { return m_limits.perSecond(life).has_value(); }
+    std::size_t limited() const { return m_limits.limitedCount(); }
+    bool isEmpty() const { return m_limits.isEmpty(); }
 
-    // Whether this node gives credits itself.
-    void setGivesCredits(bool givesCredits) { m_givesCredits = givesCredits; }
-    bool givesCredits() const { return m_givesCredits; }
-    void setNewsTime(Milliseconds newsTime) { m_credits.setNewsTime(newsTime); }
-    void setSpeakingPart(double part) { m_credits.setSpeakingPart(part); }
-    bool take(const EndpointLife& life, double asks, SteadyTime now) { return m_credits.take(life, asks, now); }
+    // Whether this node grants credits itself instead of requesting them from another node.
+    void setGivesCredits(bool givesCredits) { m_grantsCredits = givesCredits; }
+    bool givesCredits() const { return m_grantsCredits; }
+    void setNewsTime(Milliseconds propagationTime) { m_credits.setNewsTime(propagationTime); }
+    void setSpeakingPart(double share) { m_credits.setSpeakingPart(share); }
+    bool take(const EndpointLife& life, double creditRequests, SteadyTime now) { return m_credits.take(life, creditRequests, now); }
     void giveBack(const EndpointLife& life, SteadyTime now) { m_credits.giveBack(life, now); }
-    // The node that gives credits has none for this one before then.
+    // The node that grants credits has none for this endpoint before `until`.
     void noteDenied(const EndpointLife& life, SteadyTime until) { m_deniedUntil[life] = until; }
-    // When a request may get a credit; not later than `now` where it may at once, or needs none.
+    // Earliest time at which a request to the endpoint may get a credit; `now` if it may get one immediately or needs none.
     SteadyTime creditAt(const EndpointLife&, SteadyTime now) const;
-    // When this node's own bucket has one.
-    SteadyTime nextCredit(const EndpointLife& life, SteadyTime now) const { return m_credits.nextAt(life, now); }
+    // Expected time of the next credit in this node's own bucket, whether or not the node grants credits.
+    SteadyTime nextCredit(const EndpointLife& life, SteadyTime now) const { return m_credits.nextCreditAt(life, now); }
 
-    std::vector<LimitWord> takeWordsTold() { return m_words.takeTold(m_options.wordsTold); }
-    std::vector<CreditUse> takeUsesTold(SteadyTime now) { return m_credits.takeUses(m_options.usesTold, now); }
+    std::vector<LimitWord> takeWordsTold() { return m_limits.nextToSend(m_options.wordsTold); }
+    std::vector<CreditUse> takeUsesTold(SteadyTime now) { return m_credits.nextUsesToSend(m_options.usesPerMessage, now); }
     void forgetOld(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed, SteadyTime now);
 
 private:
     EndpointLimitsOptions m_options;
-    LimitWords m_words;
+    AdvertisedLimits m_limits;
     EndpointCredits m_credits;
     std::map<EndpointLife, SteadyTime> m_deniedUntil {};
-    bool m_givesCredits { true };
+    bool m_grantsCredits { true };
 };
 
 } // namespace Onyxnotch
--- a/modules/limits/limit_words.cpp
+++ b/modules/limits/limit_words.cpp
@@ -4,7 +4,7 @@
 
 namespace Onyxnotch {
 
-LimitWord joinWords(const LimitWord& left, const LimitWord& right)
+LimitWord mergeLimits(const LimitWord& left, const LimitWord& right)
 {
     if (left.sentAt > right.heardAt)
         return left;
@@ -12,70 +12,70 @@
         return right;
     if (left.perSecond != right.perSecond)
         return left.perSecond < right.perSecond ? left : right;
-    auto joined = left;
-    joined.sentAt = std::max(left.sentAt, right.sentAt);
-    joined.heardAt = std::max(left.heardAt, right.heardAt);
-    return joined;
+    auto merged = left;
+    merged.sentAt = std::max(left.sentAt, right.sentAt);
+    merged.heardAt = std::max(left.heardAt, right.heardAt);
+    return merged;
 }
 
-bool LimitWords::hear(const LimitWord& word)
+bool AdvertisedLimits::update(const LimitWord& limit)
 {
-    if (!word.isSound())
+    if (!limit.isSound())
         return false;
-    auto it = m_words.find(word.endpoint);
-    if (it != m_words.end()) {
+    auto it = m_limits.find(limit.endpoint);
+    if (it != m_limits.end()) {
         auto before = it->second.perSecond;
-        it->second = joinWords(it->second, word);
+        it->second = mergeLimits(it->second, limit);
         return it->second.perSecond != before;
     }
-    // That nothing is named says nothing new of an endpoint that never named anything.
-    if (!word.isLimited() || m_words.size() >= m_options.most)
+    // Without a known limit, an answer that advertises none changes nothing.
+    if (!limit.isLimited() || m_limits.size() >= m_options.most)
         return false;
-    m_words.emplace(word.endpoint, word);
+    m_limits.emplace(limit.endpoint, limit);
     return true;
 }
 
-std::optional<double> LimitWords::perSecond(const EndpointLife& life) const
+std::optional<double> AdvertisedLimits::perSecond(const EndpointLife& life) const
 {
-    auto it = m_words.find(life);
-    return it != m_words.end() && it->second.isLimited() ? std::optional(it->second.perSecond) : std::nullopt;
+    auto it = m_limits.find(life);
+    return it != m_limits.end() && it->second.isLimited() ? std::optional(it->second.perSecond) : std::nullopt;
 }
 
-std::size_t LimitWords::limited() const
+std::size_t AdvertisedLimits::limitedCount() const
 {
-    return static_cast<std::size_t>(std::count_if(m_words.begin(), m_words.end(), [](const auto& it) { return it.second.isLimited(); }));
+    return static_cast<std::size_t>(std::count_if(m_limits.begin(), m_limits.end(), [](const auto& it) { return it.second.isLimited(); }));
 }
 
-std::optional<LimitWord> LimitWords::find(const EndpointLife& life) const
+std::optional<LimitWord> AdvertisedLimits::find(const EndpointLife& life) const
 {
-    auto it = m_words.find(life);
-    return it == m_words.end() ? std::nullopt : std::optional(it->second);
+    auto it = m_limits.find(life);
+    return it == m_limits.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::vector<LimitWord> LimitWords::takeTold(std::size_t most)
+std::vector<LimitWord> AdvertisedLimits::nextToSend(std::size_t maxCount)
 {
-    std::vector<LimitWord> told;
-    auto it = m_words.upper_bound(m_lastTold);
-    for (std::size_t n = 0; n < std::min(most, m_words.size()); ++n, ++it) {
-        if (it == m_words.end())
-            it = m_words.begin();
-        told.push_back(it->second);
-        m_lastTold = it->first;
+    std::vector<LimitWord> entries;
+    auto it = m_limits.upper_bound(m_lastSent);
+    for (std::size_t n = 0; n < std::min(maxCount, m_limits.size()); ++n, ++it) {
+        if (it == m_limits.end())
+            it = m_limits.begin();
+        entries.push_back(it->second);
+        m_lastSent = it->first;
     }
-    return told;
+    return entries;
 }
 
-std::vector<EndpointLife> LimitWords::forgetOld(std::uint64_t nowMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed)
+std::vector<EndpointLife> AdvertisedLimits::removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed)
 {
-    std::vector<EndpointLife> forgotten;
-    for (const auto& [life, word] : m_words) {
-        bool isOld = nowMilliseconds > word.heardAt + m_options.keptMilliseconds;
-        if (isOld && (!word.isLimited() || !isUsed(life)))
-            forgotten.push_back(life);
+    std::vector<EndpointLife> removed;
+    for (const auto& [life, limit] : m_limits) {
+        bool isExpired = fleetMilliseconds > limit.heardAt + m_options.retentionMilliseconds;
+        if (isExpired && (!limit.isLimited() || !isUsed(life)))
+            removed.push_back(life);
     }
-    for (const auto& it : forgotten)
-        m_words.erase(it);
-    return forgotten;
+    for (const auto& it : removed)
+        m_limits.erase(it);
+    return removed;
 }
 
 } // namespace Onyxnotch
--- a/modules/limits/limit_words.h
+++ b/modules/limits/limit_words.h
@@ -1,5 +1,6 @@
-// What endpoints say of how much they take: requests a second from all nodes together, for as long as they say so. Kept by life and
-// apart from the list; joined from what every node heard. Pure.
+// Rate limits that endpoints advertise in their answers, in requests per second from all nodes together. A limit holds until a later
+// answer replaces it. Limits are kept by endpoint incarnation, independent of the list of endpoints, and merged from the answers that all
+// nodes received. A pure state machine. Not thread-safe.
 #pragma once
 
 #include "modules/traffic/endpoint_life.h"
@@ -12,60 +13,61 @@
 
 namespace Onyxnotch {
 
-// An endpoint that names no limit, or a greater one.
+// Rate of an endpoint that advertises no limit; a higher advertised limit counts as none.
 constexpr double unlimitedPerSecond = 1e6;
 
-// One answer's word. Times are milliseconds of the fleet's time, on which the nodes agree.
+// The limit that one answer advertised. Timestamps are milliseconds on the clock that the nodes of the fleet agree on.
 struct LimitWord {
     EndpointLife endpoint {};
     double perSecond { unlimitedPerSecond };
-    std::uint64_t sentAt { 0 }; // When the request was sent whose answer says it,
-    std::uint64_t heardAt { 0 }; // and when that answer was heard.
+    std::uint64_t sentAt { 0 }; // Time at which the request was sent whose answer advertised the limit.
+    std::uint64_t heardAt { 0 }; // Time at which that answer was received.
 
     bool operator==(const LimitWord&) const = default;
 
     bool isLimited() const { return perSecond < unlimitedPerSecond; }
-    // A number that an endpoint can mean: a time is worked out from it.
+    // Returns whether the values are usable: times are calculated from the rate.
     bool isSound() const { return perSecond >= 0 && perSecond <= unlimitedPerSecond && !endpoint.id.empty(); }
 
     template <class Archive>
     void serialize(Archive& archive) { archive(endpoint, perSecond, sentAt, heardAt); }
 };
 
-// Of two words of one life, the one that holds. An endpoint said each at some time between sending and hearing: where these overlap nobody
-// knows which one came later, and the lower one holds.
-LimitWord joinWords(const LimitWord&, const LimitWord&);
+// Returns which of two advertised limits of the same incarnation is in force. Each was advertised at an unknown time between `sentAt` and
+// `heardAt`. If these intervals overlap, the order is unknown and the lower limit is in force; otherwise the later one.
+LimitWord mergeLimits(const LimitWord&, const LimitWord&);
 
-struct LimitWordsOptions {
-    std::uint64_t keptMilliseconds { 60000 }; // A word that is over, or of an endpoint that is not used: an older one may arrive that late.
-    std::size_t most { 4096 }; // Further endpoints' words are not kept.
+struct AdvertisedLimitsOptions {
+    // How long an entry without a limit, or of an endpoint that is not in use, is kept: an older answer may arrive this late.
+    std::uint64_t retentionMilliseconds { 60000 };
+    std::size_t most { 4096 }; // Maximum number of endpoints. Limits of further endpoints are ignored.
 };
 
-class LimitWords {
+class AdvertisedLimits {
 public:
-    explicit LimitWords(const LimitWordsOptions& options = {})
+    explicit AdvertisedLimits(const AdvertisedLimitsOptions& options = {})
         : m_options(options)
     {
     }
 
-    // Returns whether what is in force has changed.
-    bool hear(const LimitWord&);
-    // Empty where none is in force.
+    // Records an advertised limit. Returns true if the limit in force changed.
+    bool update(const LimitWord&);
+    // The limit in force; no value if the endpoint is unlimited.
     std::optional<double> perSecond(const EndpointLife&) const;
-    bool knows(const EndpointLife& life) const { return m_words.contains(life); }
-    bool isEmpty() const { return m_words.empty(); }
-    std::size_t limited() const;
-    // For the other nodes, at most so many: others each time, until all have been told.
-    std::vector<LimitWord> takeTold(std::size_t most);
-    // The word of one life, for who is asked about it.
+    bool hasEntry(const EndpointLife& life) const { return m_limits.contains(life); }
+    bool isEmpty() const { return m_limits.empty(); }
+    std::size_t limitedCount() const;
+    // Returns at most `maxCount` entries to send to other nodes. Successive calls rotate through all of them.
+    std::vector<LimitWord> nextToSend(std::size_t maxCount);
+    // Returns the entry of one incarnation, also if it says that there is no limit.
     std::optional<LimitWord> find(const EndpointLife&) const;
-    // Returns the lives that are forgotten.
-    std::vector<EndpointLife> forgetOld(std::uint64_t nowMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed);
+    // Removes expired entries and returns their incarnations.
+    std::vector<EndpointLife> removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed);
 
 private:
-    LimitWordsOptions m_options;
-    std::map<EndpointLife, LimitWord> m_words {};
-    EndpointLife m_lastTold {};
+    AdvertisedLimitsOptions m_options;
+    std::map<EndpointLife, LimitWord> m_limits {};
+    EndpointLife m_lastSent {};
 };
 
 } // namespace Onyxnotch
--- a/modules/limits/return_times.h
+++ b/modules/limits/return_times.h
@@ -1,5 +1,5 @@
-// When callers may come back that were refused for want of what endpoints take: one after the other, at the rate at which they can be
-// served, instead of all in the same moment.
+// Calculates when clients may retry whose requests were refused because the endpoints have no capacity: one after the other, at the rate
+// at which the requests can be served, instead of all at the same moment. Not thread-safe.
 #pragma once
 
 #include "core/clock.h"
@@ -10,8 +10,8 @@
 namespace Onyxnotch {
 
 struct ReturnTimesOptions {
-    // Nobody is told a longer time: callers that find others ahead of them may leave, and what is taken may grow.
-    Milliseconds longest { 10000 };
+    // Upper bound of the returned delay: clients that are scheduled earlier may not retry, and the capacity may grow.
+    Milliseconds maxDelay { 10000 };
 };
 
 class ReturnTimes {
@@ -21,24 +21,24 @@
     {
     }
 
-    // For the next caller of the service: not before `earliest`, and so many a second from this node. Over the longest time the callers
-    // are spread anew.
+    // Returns the delay after which the next refused client of the service may retry: not before `earliest`, and with `perSecond` clients
+    // per second at this node. Once the schedule exceeds the maximum delay, it starts again from `now`.
     Milliseconds next(const std::string& service, SteadyTime earliest, double perSecond, SteadyTime now)
     {
-        auto& free = m_free[service];
-        if (free > now + m_options.longest)
-            free = now;
-        auto returnAt = std::max({ free, earliest, now });
-        auto apart = std::min<std::chrono::duration<double>>(std::chrono::duration<double>(1 / std::max(perSecond, leastPerSecond)), m_options.longest);
-        free = returnAt + std::chrono::duration_cast<SteadyTime::duration>(apart);
-        return std::min(m_options.longest, std::chrono::ceil<Milliseconds>(returnAt - now));
+        auto& nextReturnAt = m_nextReturnAt[service];
+        if (nextReturnAt > now + m_options.maxDelay)
+            nextReturnAt = now;
+        auto returnAt = std::max({ nextReturnAt, earliest, now });
+        auto interval = std::min<std::chrono::duration<double>>(std::chrono::duration<double>(1 / std::max(perSecond, minReturnsPerSecond)), m_options.maxDelay);
+        nextReturnAt = returnAt + std::chrono::duration_cast<SteadyTime::duration>(interval);
+        return std::min(m_options.maxDelay, std::chrono::ceil<Milliseconds>(returnAt - now));
     }
 
 private:
-    static constexpr double leastPerSecond = 0.01;
+    static constexpr double minReturnsPerSecond = 0.01;
 
     ReturnTimesOptions m_options;
-    std::map<std::string, SteadyTime> m_free {}; // By service: when the next one may come.
+    std::map<std::string, SteadyTime> m_nextReturnAt {}; // Earliest retry time of the next client, by service.
 };
 
 } // namespace Onyxnotch
--- a/modules/limits/team_limits.cpp
+++ b/modules/limits/team_limits.cpp
@@ -8,19 +8,20 @@
 
     double seconds(SteadyTime::duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-    constexpr double learningPart = 0.4; // Of each report in a peer's rate: follows a change within a second.
-    constexpr double shortestPeriod = 0.2; // Between two rows of a peer, in seconds: a little less than the gossip period.
-    constexpr Milliseconds longestWait { 2000 }; // Nobody is told to come back later than this.
-    constexpr Milliseconds shortestWait { 100 };
-    const std::string fleetName; // Among the peers, all other nodes of a large fleet. No node has an empty name.
-    constexpr double silentPartBorne = 0.1; // Of the nodes: while more are silent, this node may be the one that is cut off.
+    constexpr double latestReportWeight = 0.4; // Weight of the latest report in the rate of a peer: follows a change within a second.
+    // Minimum time between two reports of a peer that a rate is calculated from; slightly less than the gossip period.
+    constexpr double minReportPeriodSeconds = 0.2;
+    constexpr Milliseconds maxRetryDelay { 2000 }; // Upper bound of the delay that a refusal returns.
+    constexpr Milliseconds minRetryDelay { 100 };
+    const std::string fleetPeerName; // Key in `m_peers` that stands for all other nodes of a large fleet. No node has an empty name.
+    constexpr double maxSilentShare = 0.1; // If the share of silent nodes is larger, this node itself may be cut off from the fleet.
 
 } // namespace
 
-void TeamLimits::PeerUse::learn(double newTotal, double elapsedSeconds)
+void TeamLimits::PeerUse::updateRate(double newTotal, double elapsedSeconds)
 {
     auto latest = std::max(0.0, newTotal - total) / elapsedSeconds;
-    perSecond = perSecond ? *perSecond + learningPart * (latest - *perSecond) : latest;
+    perSecond = perSecond ? *perSecond + latestReportWeight * (latest - *perSecond) : latest;
 }
 
 TeamLimits::TeamLimits(SteadyTime startedAt, const TeamLimitsOptions& options)
@@ -29,20 +30,21 @@
 {
 }
 
-// What a peer has let through by now. One that went silent may be cut off and still serve: it is expected to use at least its even
-// share, as it expects of us.
+// Estimates the current total of a peer. A peer that stopped reporting may be cut off and still admit requests: after `freshFor` it is
+// assumed to use at least its even share, just as it assumes that of this node.
 double TeamLimits::expectedTotal(const Peer& peer, const PeerUse& use, double ratePerSecond, SteadyTime now) const
 {
-    auto silence = now - peer.heardAt;
-    auto fresh = std::min<SteadyTime::duration>(silence, m_options.freshFor);
-    auto stale = silence - fresh;
-    auto share = ratePerSecond * peer.nodes / heardNodes();
+    auto sinceReport = now - peer.receivedAt;
+    auto freshTime = std::min<SteadyTime::duration>(sinceReport, m_options.freshFor);
+    auto staleTime = sinceReport - freshTime;
+    auto share = ratePerSecond * peer.nodes / reportingNodes();
     auto perSecond = use.perSecond.value_or(share);
-    // Nobody uses more than the whole rate for long, and a deep debt for what was only expected would keep the team out for seconds.
-    return use.total + perSecond * seconds(fresh) + std::min(std::max(perSecond, share), ratePerSecond) * seconds(stale);
+    // The estimate is capped at the team's complete rate: no peer exceeds it for long, and a large debt from an estimate alone would
+    // refuse the team for seconds.
+    return use.total + perSecond * seconds(freshTime) + std::min(std::max(perSecond, share), ratePerSecond) * seconds(staleTime);
 }
 
-double TeamLimits::heardNodes() const
+double TeamLimits::reportingNodes() const
 {
     double nodes = 1;
     for (const auto& [name, peer] : m_peers)
@@ -50,56 +52,57 @@
     return nodes;
 }
 
-double TeamLimits::spendablePart(SteadyTime now) const
+double TeamLimits::spendableShare(SteadyTime now) const
 {
-    return isCautious(now) ? std::min(1.0, heardNodes() / std::max(1U, m_options.expectedNodes)) : 1;
+    return isStartingUp(now) ? std::min(1.0, reportingNodes() / std::max(1U, m_options.expectedNodes)) : 1;
 }
 
-// Nobody knows what an earlier life of this node has let through: a new one has saved up no more than what came in since its start.
-double TeamLimits::firstLevel(const TrafficTeam& team, SteadyTime now) const
+// What an earlier incarnation of this node admitted is unknown. Shortly after the start, the initial level is therefore only what has
+// accumulated since then.
+double TeamLimits::initialLevel(const TrafficTeam& team, SteadyTime now) const
 {
-    if (!isCautious(now))
+    if (!isStartingUp(now))
         return team.burst;
-    return std::min(team.burst, team.ratePerSecond * seconds(now - m_startedAt) * spendablePart(now));
+    return std::min(team.burst, team.ratePerSecond * seconds(now - m_startedAt) * spendableShare(now));
 }
 
 void TeamLimits::advance(const std::string& team, Bucket& bucket, SteadyTime now)
 {
     auto elapsed = seconds(now - bucket.updatedAt);
     bucket.updatedAt = now;
-    auto level = bucket.level + bucket.ratePerSecond * elapsed * std::min(spendablePart(now), speakingPart());
-    // That a whole fleet has gone is less likely than that this node is cut off from it.
-    std::erase_if(m_peers, [&](const auto& it) { return it.first != fleetName && now - it.second.heardAt > m_options.forgetAfter; });
+    auto level = bucket.level + bucket.ratePerSecond * elapsed * std::min(spendableShare(now), reportingShare());
+    // The aggregate entry never expires: it is less likely that the complete fleet is down than that this node is cut off from it.
+    std::erase_if(m_peers, [&](const auto& it) { return it.first != fleetPeerName && now - it.second.receivedAt > m_options.forgetAfter; });
     for (auto& [node, peer] : m_peers) {
         auto& use = peer.uses[team];
         auto total = expectedTotal(peer, use, bucket.ratePerSecond, now);
-        // A bucket that begins with a whole burst begins with what happens from now on; one that begins with what has come in since this
-        // node's start, with what has gone out since then.
-        if (bucket.known || isCautious(now))
+        // A bucket that starts with a full burst is charged only for what peers admit from now on. A bucket that starts with the amount
+        // accumulated since this node's start is also charged for what peers admitted since then.
+        if (bucket.isInitialized || isStartingUp(now))
             level -= total - use.charged;
         use.charged = total;
     }
-    bucket.known = true;
-    // What came in and what went out belong to the same time: only their difference can overflow.
+    bucket.isInitialized = true;
+    // The refill and the charges cover the same period, so only their difference is clamped.
     bucket.level = std::clamp(level, -bucket.ratePerSecond * m_options.maximumDebtSeconds, bucket.burst);
 }
 
-bool TeamLimits::hearsAll(SteadyTime now) const
+bool TeamLimits::allPeersReport(SteadyTime now) const
 {
-    if (m_silentNodes > heardNodes() * silentPartBorne)
+    if (m_silentNodes > reportingNodes() * maxSilentShare)
         return false;
-    return std::all_of(m_peers.begin(), m_peers.end(), [&](const auto& it) { return now - it.second.heardAt <= 2 * m_options.freshFor; });
+    return std::all_of(m_peers.begin(), m_peers.end(), [&](const auto& it) { return now - it.second.receivedAt <= 2 * m_options.freshFor; });
 }
 
-double TeamLimits::neededLevel(const TrafficTeam& team, double amount, SteadyTime now) const
+double TeamLimits::requiredLevel(const TrafficTeam& team, double amount, SteadyTime now) const
 {
-    // Each node may overdraw its level by one request. Nodes that do not know each other would all do so at once: until it has heard the
-    // others, a node needs a part of the amount beforehand.
-    auto unheard = 1 - spendablePart(now);
-    if (unheard > 0)
-        return amount * unheard;
-    bool small = amount < team.ratePerSecond * m_options.smallPart;
-    return small && hearsAll(now) ? -team.ratePerSecond * m_options.smallDebtSeconds : 0;
+    // Each node may overdraw its level by one request. Nodes that don't know of each other yet would all do so at the same time. During
+    // startup a node therefore needs a part of the amount in advance, equal to the share of the rate that it must not spend yet.
+    auto unspendableShare = 1 - spendableShare(now);
+    if (unspendableShare > 0)
+        return amount * unspendableShare;
+    bool isSmall = amount < team.ratePerSecond * m_options.smallRequestShare;
+    return isSmall && allPeersReport(now) ? -team.ratePerSecond * m_options.smallDebtSeconds : 0;
 }
 
 std::optional<Milliseconds> TeamLimits::admit(const TrafficTeam& team, double amount, SteadyTime now)
@@ -107,19 +110,19 @@
     if (team.ratePerSecond <= 0)
         return std::nullopt;
     auto& bucket = m_buckets[team.name];
-    if (!bucket.known)
-        bucket = { .level = firstLevel(team, now), .updatedAt = now };
+    if (!bucket.isInitialized)
+        bucket = { .level = initialLevel(team, now), .updatedAt = now };
     bucket.ratePerSecond = team.ratePerSecond;
     bucket.burst = team.burst;
     advance(team.name, bucket, now);
-    auto needed = neededLevel(team, amount, now);
-    if (bucket.level > needed) {
+    auto required = requiredLevel(team, amount, now);
+    if (bucket.level > required) {
         bucket.level -= amount;
         m_ownTotals[team.name] += amount;
         return std::nullopt;
     }
-    auto wait = Milliseconds(static_cast<std::int64_t>((needed - bucket.level) / team.ratePerSecond * 1000));
-    return std::clamp(wait, shortestWait, longestWait);
+    auto wait = Milliseconds(static_cast<std::int64_t>((required - bucket.level) / team.ratePerSecond * 1000));
+    return std::clamp(wait, minRetryDelay, maxRetryDelay);
 }
 
 void TeamLimits::refund(const std::string& team, double amount)
@@ -133,55 +136,56 @@
 
 void TeamLimits::onPeer(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now)
 {
-    if (m_hearsFleet)
+    if (m_usesFleetTotals)
         return;
-    bool unknown = !m_peers.contains(node);
+    bool isUnknown = !m_peers.contains(node);
     auto& peer = m_peers[node];
-    bool first = peer.lifetime != lifetime;
-    auto sharedPart = age > SteadyTime::duration::zero() ? std::min(1.0, seconds(now - m_startedAt) / seconds(age)) : 1;
-    if (first)
-        peer = { .lifetime = lifetime, .heardAt = now };
-    // Rows that were held up come in a bunch: that is no burst.
-    auto elapsed = std::max(seconds(now - peer.heardAt), shortestPeriod);
-    peer.heardAt = now;
+    bool isFirst = peer.lifetime != lifetime;
+    auto overlapShare = age > SteadyTime::duration::zero() ? std::min(1.0, seconds(now - m_startedAt) / seconds(age)) : 1;
+    if (isFirst)
+        peer = { .lifetime = lifetime, .receivedAt = now };
+    // Delayed reports arrive in quick succession, which must not be mistaken for a burst of requests.
+    auto elapsed = std::max(seconds(now - peer.receivedAt), minReportPeriodSeconds);
+    peer.receivedAt = now;
     for (const auto& [team, total] : totals) {
         auto& use = peer.uses[team];
-        // What a peer let through before this node's own start is in the past: taken as the even part of its life.
-        if (unknown)
-            use.charged = total * (1 - sharedPart);
-        if (!first)
-            use.learn(total, elapsed);
+        // What a peer admitted before this node's start is not charged. It is estimated by spreading the total evenly over the peer's
+        // uptime.
+        if (isUnknown)
+            use.charged = total * (1 - overlapShare);
+        if (!isFirst)
+            use.updateRate(total, elapsed);
         use.total = total;
     }
 }
 
-void TeamLimits::onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime heardAt)
+void TeamLimits::onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt)
 {
-    bool first = !m_hearsFleet;
-    if (first)
+    bool isFirst = !m_usesFleetTotals;
+    if (isFirst)
         m_peers.clear();
-    m_hearsFleet = true;
+    m_usesFleetTotals = true;
     m_silentNodes = silentNodes;
-    auto& fleet = m_peers[fleetName];
+    auto& fleet = m_peers[fleetPeerName];
     fleet.nodes = nodes;
-    if (!first && heardAt <= fleet.heardAt)
+    if (!isFirst && receivedAt <= fleet.receivedAt)
         return;
-    auto elapsed = std::max(seconds(heardAt - fleet.heardAt), shortestPeriod);
-    // Relays that were lost took with them what was told to them last, and the new ones know nothing of that time: what was expected of it
-    // stays charged. Without this, all relays lost at once let through two seconds of a team's rate a second time.
-    bool wasSilent = heardAt - fleet.heardAt > m_options.freshFor;
-    fleet.heardAt = heardAt;
+    auto elapsed = std::max(seconds(receivedAt - fleet.receivedAt), minReportPeriodSeconds);
+    // When relay nodes fail, the latest reports sent to them are lost, and their replacements don't know of that period. The estimate for
+    // it therefore stays charged. Without this, the loss of all relay nodes at once admitted two seconds of a team's rate a second time.
+    bool wasSilent = receivedAt - fleet.receivedAt > m_options.freshFor;
+    fleet.receivedAt = receivedAt;
     for (const auto& [team, total] : totals) {
-        if (first) {
+        if (isFirst) {
             fleet.uses[team] = { .total = total, .perSecond = std::nullopt, .charged = total };
             continue;
         }
         auto& use = fleet.uses[team];
         if (wasSilent)
-            use.missed += std::max(0.0, use.charged - total - use.missed);
+            use.unreported += std::max(0.0, use.charged - total - use.unreported);
         else
-            use.learn(total + use.missed, elapsed);
-        use.total = total + use.missed;
+            use.updateRate(total + use.unreported, elapsed);
+        use.total = total + use.unreported;
     }
 }
 
--- a/modules/limits/team_limits.h
+++ b/modules/limits/team_limits.h
@@ -1,4 +1,5 @@
-// Rate limits of teams over all nodes: a pure state machine fed with what every node says it has let through.
+// Enforces the rate limits of teams over all nodes. A pure state machine that receives the totals each node reports to have admitted; the
+// current time is passed in. Not thread-safe.
 #pragma once
 
 #include "core/clock.h"
@@ -10,57 +11,59 @@
 namespace Onyxnotch {
 
 struct TeamLimitsOptions {
-    Milliseconds freshFor { 750 }; // A peer's counters count as known for this long: three gossip periods.
-    Milliseconds forgetAfter { 20000 }; // A peer that was silent this long has gone; its share goes to the others.
-    // After the start, until the counters of all peers should have arrived: eight gossip periods. Meanwhile a node spends only the even
-    // shares of the nodes that it has heard and of itself.
+    Milliseconds freshFor { 750 }; // Reported counters of a peer count as current for this duration: three gossip periods.
+    Milliseconds forgetAfter { 20000 }; // A peer without reports for this duration is removed, and its share goes to the other nodes.
+    // Startup phase, within which the counters of all peers should arrive: eight gossip periods. Until it ends, a node spends only the
+    // even shares of itself and of the peers that have reported.
     Milliseconds cautiousFor { 2000 };
-    unsigned expectedNodes { 10 }; // In the fleet, this one included, until the store has told; the users' sites have nine.
-    // A large request may overdraw a level by seconds of the rate; small ones, each below this part of a second's rate, are let through
-    // meanwhile, down to this much debt in seconds of the rate. They are charged like all others: the rate over time stays the same.
-    // Only while all peers are heard: nodes that are cut off from each other would each run up such a debt.
-    double smallPart { 0.01 };
+    // Number of nodes in the fleet including this one, until the store provides it. The users' sites have nine.
+    unsigned expectedNodes { 10 };
+    // A large request may overdraw the level by several seconds of the rate. Meanwhile small requests, each below `smallRequestShare` of
+    // one second's rate, are admitted down to a debt of `smallDebtSeconds` of the rate. They are charged like all others, so the average
+    // rate stays the same. This applies only while all peers report: nodes that are cut off from each other would each accumulate such a
+    // debt.
+    double smallRequestShare { 0.01 };
     double smallDebtSeconds { 0.75 };
-    double maximumDebtSeconds { 8 }; // Of the rate, that an overshoot is paid back for.
+    double maximumDebtSeconds { 8 }; // Maximum debt after an overshoot, in seconds of the rate.
 };
 
 class TeamLimits {
 public:
     TeamLimits(SteadyTime startedAt, const TeamLimitsOptions& options = {});
 
-    // Charges the amount where there is room. Returns when to come back where there is none.
+    // Charges `amount` and returns nothing if the request is admitted. Otherwise returns the delay after which the client may retry.
     std::optional<Milliseconds> admit(const TrafficTeam&, double amount, SteadyTime now);
-    // The request did not run.
+    // Refunds the amount of a request that was admitted but did not run.
     void refund(const std::string& team, double amount);
-    // Totals of a peer's life, as it told them. `lifetime` changes with each of its starts; `age` is how long that life has lasted.
+    // Records the totals that a peer reports for its current incarnation. `lifetime` identifies the incarnation and `age` is its uptime.
     void onPeer(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now);
-    // What all other nodes of a large fleet have let through, as it was known at `heardAt`: totals of which only the growth counts, over
-    // `nodes` that speak. `silentNodes` did until lately: they may be cut off and let through their share. Once told, single peers count
-    // no more.
-    void onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime heardAt);
-    // For a fleet in which rows of a peer come only now and then.
+    // Records the aggregate of all other nodes of a large fleet, as of `receivedAt`. `totals` comes from `nodes` reporting nodes, and
+    // only its growth counts. `silentNodes` reported until recently: they may be cut off and still admit their share. After the first
+    // call, reports of single peers are ignored.
+    void onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt);
+    // For fleets in which a peer reports less often than each gossip period.
     void setFreshFor(Milliseconds freshFor) { m_options.freshFor = freshFor; }
     void setCautiousFor(Milliseconds cautiousFor) { m_options.cautiousFor = cautiousFor; }
-    // How many nodes there are, as far as anybody knows, this one included.
+    // Sets the best known number of nodes, including this one.
     void setExpectedNodes(unsigned nodes) { m_options.expectedNodes = nodes; }
     unsigned expectedNodes() const { return m_options.expectedNodes; }
-    // This node's own totals, for the peers.
+    // Totals that this node admitted, to be sent to its peers.
     const std::map<std::string, double>& ownTotals() const { return m_ownTotals; }
 
 private:
     struct PeerUse {
         double total { 0 };
-        std::optional<double> perSecond { 0 }; // Empty where it has been heard only once.
-        double charged { 0 }; // Of this life, against the bucket.
-        double missed { 0 }; // In none of its totals: let through, as expected, while nothing was heard.
+        std::optional<double> perSecond { 0 }; // No value if there was only one report yet.
+        double charged { 0 }; // Amount of this incarnation that is already charged to the bucket.
+        double unreported { 0 }; // Estimated amount from periods without reports that no reported total includes.
 
-        void learn(double newTotal, double elapsedSeconds);
+        void updateRate(double newTotal, double elapsedSeconds);
     };
 
     struct Peer {
         std::uint64_t lifetime { 0 };
-        double nodes { 1 }; // That it stands for.
-        SteadyTime heardAt {};
+        double nodes { 1 }; // Number of nodes that this entry represents.
+        SteadyTime receivedAt {};
         std::map<std::string, PeerUse> uses {};
     };
 
@@ -69,20 +72,20 @@
         double ratePerSecond { 0 };
         double burst { 0 };
         SteadyTime updatedAt {};
-        bool known { false };
+        bool isInitialized { false };
     };
 
     void advance(const std::string& team, Bucket&, SteadyTime now);
-    bool isCautious(SteadyTime now) const { return now - m_startedAt < m_options.cautiousFor; }
-    double heardNodes() const; // This one included.
-    // Of the rate, that may be spent by this node and those that it has heard, soon after its start.
-    double spendablePart(SteadyTime now) const;
-    // Of the rate, that is not left to nodes that fell silent.
-    double speakingPart() const { return m_silentNodes > 0 ? heardNodes() / (heardNodes() + m_silentNodes) : 1; }
-    double firstLevel(const TrafficTeam&, SteadyTime now) const;
-    bool hearsAll(SteadyTime now) const;
-    // The level that a request of this amount needs.
-    double neededLevel(const TrafficTeam&, double amount, SteadyTime now) const;
+    bool isStartingUp(SteadyTime now) const { return now - m_startedAt < m_options.cautiousFor; }
+    double reportingNodes() const; // Number of reporting nodes, including this one.
+    // Share of the rate that may be spent. Below 1 during the startup phase: the share of the reporting nodes and this one.
+    double spendableShare(SteadyTime now) const;
+    // Share of the rate that is not set aside for silent nodes.
+    double reportingShare() const { return m_silentNodes > 0 ? reportingNodes() / (reportingNodes() + m_silentNodes) : 1; }
+    double initialLevel(const TrafficTeam&, SteadyTime now) const;
+    bool allPeersReport(SteadyTime now) const;
+    // Level that the bucket must exceed to admit a request of this amount.
+    double requiredLevel(const TrafficTeam&, double amount, SteadyTime now) const;
     double expectedTotal(const Peer&, const PeerUse&, double ratePerSecond, SteadyTime now) const;
 
     TeamLimitsOptions m_options;
@@ -90,7 +93,7 @@
     std::map<std::string, Bucket> m_buckets {};
     std::map<std::string, double> m_ownTotals {};
     std::map<std::string, Peer> m_peers {};
-    bool m_hearsFleet { false };
+    bool m_usesFleetTotals { false };
     double m_silentNodes { 0 };
 };
 
--- a/modules/limits/usage_ledger.h
+++ b/modules/limits/usage_ledger.h
@@ -1,4 +1,5 @@
-// Requests that began to run, counted by team and by window of true time, for the usage reports.
+// Counts the requests that began to run on this node, by team and by time window, for the usage reports. Windows are aligned to the
+// fleet's synchronized clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 namespace Onyxnotch {
 
 using TeamCounts = std::map<std::string, std::uint64_t>;
-using WindowCounts = std::map<std::uint64_t, TeamCounts>; // By the window's number.
+using WindowCounts = std::map<std::uint64_t, TeamCounts>; // Keyed by window number: time divided by the window's length.
 
 class UsageLedger {
 public:
@@ -24,11 +25,11 @@
             m_windows.erase(m_windows.begin());
     }
     const WindowCounts& windows() const { return m_windows; }
-    // Those that had not ended at this time.
+    // Returns the windows that had not ended at this time.
     WindowCounts openSince(std::uint64_t trueMilliseconds) const { return { m_windows.lower_bound(trueMilliseconds / m_windowMilliseconds), m_windows.end() }; }
 
 private:
-    // A report is due two windows after its window has ended; a few more cover a store that is away.
+    // A report is due two windows after the end of its window; the other windows cover times at which the store is unreachable.
     static constexpr std::size_t keptWindows = 6;
 
     std::uint64_t m_windowMilliseconds;
--- a/tests/modules/limits/limit_simulation.h
+++ b/tests/modules/limits/limit_simulation.h
@@ -1,5 +1,6 @@
-// Nodes that give credits for one endpoint, and callers that want them, in simulated time: what they run is EndpointLimits; only sockets and
-// timers are replaced. In a large fleet the nodes that give credits are its relays, and an ask is counted where its node's relay is.
+// Simulates nodes that grant credits for one endpoint, and the requests for these credits, in simulated time. The nodes run the real
+// EndpointLimits; only sockets and timers are replaced. In a large fleet the nodes that grant credits are its relay nodes, and a request
+// counts at the relay node of the node that received it.
 #pragma once
 
 #include "modules/limits/endpoint_limits.h"
@@ -10,15 +11,15 @@
 namespace Onyxnotch::Tests {
 
 struct LimitSimulationOptions {
-    unsigned givers { 9 };
+    unsigned granters { 9 };
     double perSecond { 1 };
-    double asksPerSecond { 9 }; // Of all callers.
-    bool isSkewed { false }; // All callers ask by way of one giver.
-    double lossPart { 0.02 }; // Of messages.
-    Milliseconds delay { 1 }; // Of a message, doubled for some.
-    Milliseconds apart { 20 }; // News that are told at once.
+    double creditRequestsPerSecond { 9 }; // Credit requests per second over all nodes.
+    bool isSkewed { false }; // All credit requests go to one granting node.
+    double lossShare { 0.02 }; // Share of messages that are lost.
+    Milliseconds delay { 1 }; // Delivery delay of a message; one message in five takes twice as long.
+    Milliseconds minSendInterval { 20 }; // Minimum time between two messages that a node sends outside of its period.
     Milliseconds period { 250 };
-    Milliseconds newsTime { 100 };
+    Milliseconds propagationTime { 100 };
     std::uint64_t seed { 1 };
 };
 
@@ -28,16 +29,16 @@
         : m_options(options)
         , m_random(options.seed)
     {
-        for (unsigned n = 0; n < options.givers; ++n)
-            m_givers.push_back({ .limits = newLimits(options.seed * 1000 + n), .phase = Milliseconds(37) * n % options.period });
+        for (unsigned n = 0; n < options.granters; ++n)
+            m_granters.push_back({ .limits = newLimits(options.seed * 1000 + n), .phase = Milliseconds(37) * n % options.period });
     }
 
-    // An answer names so much, which the giver hears.
-    void name(unsigned giver, double perSecond)
+    // An answer of the endpoint advertises `perSecond`, and this granting node receives it.
+    void advertise(unsigned granter, double perSecond)
     {
-        m_named = perSecond;
-        hear(giver);
-        tellSoon(m_givers[giver]);
+        m_advertisedPerSecond = perSecond;
+        receiveAnswer(granter);
+        scheduleSend(m_granters[granter]);
     }
 
     void run(Milliseconds duration)
@@ -46,55 +47,55 @@
             advance();
     }
 
-    void kill(unsigned giver) { m_givers[giver].up = false; }
-    void restart(unsigned giver)
+    void stop(unsigned granter) { m_granters[granter].up = false; }
+    void restart(unsigned granter)
     {
-        auto& it = m_givers[giver];
+        auto& it = m_granters[granter];
         ++it.lifetime;
         it.up = true;
-        it.limits = newLimits(m_options.seed * 1000 + giver + 500 * it.lifetime);
+        it.limits = newLimits(m_options.seed * 1000 + granter + 500 * it.lifetime);
     }
 
-    void setAsks(double perSecond) { m_options.asksPerSecond = perSecond; }
-    void setSkew(unsigned giver) { m_favourite = giver; }
+    void setCreditRequests(double perSecond) { m_options.creditRequestsPerSecond = perSecond; }
+    void setSkewedGranter(unsigned granter) { m_skewedGranter = granter; }
     SteadyTime now() const { return m_now; }
-    const EndpointLimits& limits(unsigned giver) const { return *m_givers[giver].limits; }
+    const EndpointLimits& limits(unsigned granter) const { return *m_granters[granter].limits; }
 
-    std::size_t givenSince(SteadyTime since) const
+    std::size_t grantedSince(SteadyTime since) const
     {
-        return static_cast<std::size_t>(std::count_if(m_given.begin(), m_given.end(), [&](const auto& it) { return it >= since; }));
+        return static_cast<std::size_t>(std::count_if(m_grantedAt.begin(), m_grantedAt.end(), [&](const auto& it) { return it >= since; }));
     }
 
-    // The most that was given in any span which ends after `from`.
-    std::size_t mostGiven(SteadyTime from, Milliseconds span = Milliseconds(4000)) const
+    // Largest number of credits granted within any time span of length `span` that ends at or after `from`.
+    std::size_t maxGranted(SteadyTime from, Milliseconds span = Milliseconds(4000)) const
     {
-        std::size_t most = 0;
-        auto first = m_given.begin();
-        for (auto it = m_given.begin(); it != m_given.end(); ++it) {
+        std::size_t maxCount = 0;
+        auto first = m_grantedAt.begin();
+        for (auto it = m_grantedAt.begin(); it != m_grantedAt.end(); ++it) {
             while (*it - *first > span)
                 ++first;
             if (*it >= from)
-                most = std::max(most, static_cast<std::size_t>(it - first) + 1);
+                maxCount = std::max(maxCount, static_cast<std::size_t>(it - first) + 1);
         }
-        return most;
+        return maxCount;
     }
 
 private:
     static constexpr Milliseconds step { 1 };
 
-    struct Giver {
+    struct Granter {
         std::unique_ptr<EndpointLimits> limits {};
         Milliseconds phase {};
         std::uint64_t lifetime { 1 };
         bool up { true };
-        std::optional<SteadyTime> tellsAt {};
-        SteadyTime toldAt {};
+        std::optional<SteadyTime> sendsAt {};
+        SteadyTime lastSentAt {};
     };
 
     struct Message {
         SteadyTime at {};
         unsigned to { 0 };
-        std::shared_ptr<const LimitNews> news {};
+        std::shared_ptr<const LimitNews> limitMessage {};
 
         bool operator<(const Message& other) const { return at > other.at; }
     };
@@ -102,63 +103,63 @@
     std::unique_ptr<EndpointLimits> newLimits(std::uint64_t seed) const
     {
         auto limits = std::make_unique<EndpointLimits>(EndpointLimitsOptions {}, seed);
-        limits->setNewsTime(m_options.newsTime);
+        limits->setNewsTime(m_options.propagationTime);
         return limits;
     }
 
     std::uint64_t milliseconds() const { return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(m_now.time_since_epoch()).count()); }
 
-    void hear(unsigned giver)
+    void receiveAnswer(unsigned granter)
     {
-        LimitWord word { .endpoint = m_endpoint, .perSecond = m_named, .sentAt = milliseconds() - 1, .heardAt = milliseconds() };
-        m_givers[giver].limits->hear(word, m_now);
+        LimitWord word { .endpoint = m_endpoint, .perSecond = m_advertisedPerSecond, .sentAt = milliseconds() - 1, .heardAt = milliseconds() };
+        m_granters[granter].limits->hear(word, m_now);
     }
 
     void advance()
     {
-        std::poisson_distribution<unsigned> asks(m_options.asksPerSecond * std::chrono::duration<double>(step).count());
-        for (auto n = asks(m_random); n > 0; --n)
-            ask();
+        std::poisson_distribution<unsigned> requestCount(m_options.creditRequestsPerSecond * std::chrono::duration<double>(step).count());
+        for (auto n = requestCount(m_random); n > 0; --n)
+            requestCredit();
         while (!m_messages.empty() && m_messages.top().at <= m_now) {
             auto message = m_messages.top();
             m_messages.pop();
-            auto& it = m_givers[message.to];
-            if (it.up && it.limits->onNews(*message.news, milliseconds(), m_now))
-                tellSoon(it);
+            auto& it = m_granters[message.to];
+            if (it.up && it.limits->onNews(*message.limitMessage, milliseconds(), m_now))
+                scheduleSend(it);
         }
-        for (unsigned n = 0; n < m_givers.size(); ++n) {
-            auto& it = m_givers[n];
+        for (unsigned n = 0; n < m_granters.size(); ++n) {
+            auto& it = m_granters[n];
             bool isDue = (std::chrono::duration_cast<Milliseconds>(m_now.time_since_epoch()) + it.phase).count() % m_options.period.count() == 0;
-            if (it.up && (isDue || (it.tellsAt && *it.tellsAt <= m_now)))
-                tell(n);
+            if (it.up && (isDue || (it.sendsAt && *it.sendsAt <= m_now)))
+                send(n);
         }
     }
 
-    void tellSoon(Giver& it) const { it.tellsAt = it.tellsAt.value_or(std::max(m_now, it.toldAt + m_options.apart)); }
+    void scheduleSend(Granter& it) const { it.sendsAt = it.sendsAt.value_or(std::max(m_now, it.lastSentAt + m_options.minSendInterval)); }
 
-    void ask()
+    void requestCredit()
     {
-        auto giver = m_options.isSkewed ? m_favourite : static_cast<unsigned>(m_random() % m_givers.size());
-        auto& it = m_givers[giver];
+        auto granter = m_options.isSkewed ? m_skewedGranter : static_cast<unsigned>(m_random() % m_granters.size());
+        auto& it = m_granters[granter];
         if (!it.up || !it.limits->isLimited(m_endpoint) || !it.limits->take(m_endpoint, 1, m_now))
             return;
-        m_given.push_back(m_now);
-        // The endpoint's answer names the limit again.
-        hear(giver);
-        tellSoon(it);
+        m_grantedAt.push_back(m_now);
+        // The endpoint's answer advertises the limit again.
+        receiveAnswer(granter);
+        scheduleSend(it);
     }
 
-    void tell(unsigned from)
+    void send(unsigned from)
     {
-        auto& it = m_givers[from];
-        it.tellsAt.reset();
-        it.toldAt = m_now;
-        auto news = std::make_shared<const LimitNews>(LimitNews { .node = "n" + std::to_string(from), .lifetime = it.lifetime, .words = it.limits->takeWordsTold(), .uses = it.limits->takeUsesTold(m_now) });
-        std::bernoulli_distribution isLost(m_options.lossPart);
+        auto& it = m_granters[from];
+        it.sendsAt.reset();
+        it.lastSentAt = m_now;
+        auto limitMessage = std::make_shared<const LimitNews>(LimitNews { .node = "n" + std::to_string(from), .lifetime = it.lifetime, .words = it.limits->takeWordsTold(), .uses = it.limits->takeUsesTold(m_now) });
+        std::bernoulli_distribution isLost(m_options.lossShare);
         std::bernoulli_distribution isSlow(0.2);
-        for (unsigned n = 0; n < m_givers.size(); ++n) {
+        for (unsigned n = 0; n < m_granters.size(); ++n) {
             if (n != from && !isLost(m_random))
-                m_messages.push({ .at = m_now + m_options.delay * (isSlow(m_random) ? 2 : 1), .to = n, .news = news });
+                m_messages.push({ .at = m_now + m_options.delay * (isSlow(m_random) ? 2 : 1), .to = n, .limitMessage = limitMessage });
         }
     }
 
@@ -166,11 +167,11 @@
     std::mt19937_64 m_random;
     SteadyTime m_now { std::chrono::seconds(1000) };
     EndpointLife m_endpoint { .id = "i-1" };
-    double m_named { unlimitedPerSecond };
-    unsigned m_favourite { 0 };
-    std::vector<Giver> m_givers {};
+    double m_advertisedPerSecond { unlimitedPerSecond };
+    unsigned m_skewedGranter { 0 };
+    std::vector<Granter> m_granters {};
     std::priority_queue<Message> m_messages {};
-    std::vector<SteadyTime> m_given {};
+    std::vector<SteadyTime> m_grantedAt {};
 };
 
 } // namespace Onyxnotch::Tests
--- a/tests/modules/limits/test_endpoint_limits.cpp
+++ b/tests/modules/limits/test_endpoint_limits.cpp
@@ -1,4 +1,5 @@
-// What nodes give together of what a limited endpoint takes, by simulation of 9 nodes, and of the relays of 300 and of 420.
+// Tests that nodes together grant no more credits for a limited endpoint than it advertises, and use most of them: simulations of 9
+// nodes, and of the relay nodes of fleets of 300 and of 420 nodes; then single steps of EndpointCredits and EndpointLimits.
 #include "tests/modules/limits/limit_simulation.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,53 +9,53 @@
 
 namespace {
 
-constexpr Milliseconds settled { 3000 }; // After the first word, by when all nodes keep to it.
+constexpr Milliseconds settleTime { 3000 }; // Time from the first advertised limit until all nodes are expected to enforce it.
 
 struct Fleet {
     const char* name { "" };
-    unsigned givers { 9 };
+    unsigned granters { 9 };
     Milliseconds delay { 1 };
-    Milliseconds newsTime { 100 }; // As EntryLimits sets it.
+    Milliseconds propagationTime { 100 }; // Same value as EntryLimits uses.
 };
 
 const Fleet fleets[] { { "9 nodes", 9, Milliseconds(1) }, { "300 nodes, relays of 6 zones", 12, Milliseconds(5), Milliseconds(200) }, { "420 nodes, relays of 11 zones in 3 regions", 22, Milliseconds(20), Milliseconds(200) } };
 
-// What an endpoint may get in any four seconds.
-double allowed(double perSecond) { return 1.5 * perSecond * 4 + 5; }
+// Upper bound of the credits that may be granted within any four seconds.
+double maxAllowed(double perSecond) { return 1.5 * perSecond * 4 + 5; }
 
-struct Figures {
-    std::size_t most { 0 };
-    double used { 0 };
+struct Result {
+    std::size_t maxGrantedIn4s { 0 };
+    double usedShare { 0 };
 };
 
-Figures play(const LimitSimulationOptions& options)
+Result simulate(const LimitSimulationOptions& options)
 {
     constexpr Milliseconds counted { 40000 };
     LimitSimulation it(options);
-    auto namedAt = it.now();
-    it.name(0, options.perSecond);
-    it.run(settled + counted);
-    auto used = static_cast<double>(it.givenSince(namedAt + settled)) / (options.perSecond * std::chrono::duration<double>(counted).count());
-    return { .most = it.mostGiven(namedAt + settled), .used = used };
+    auto advertisedAt = it.now();
+    it.advertise(0, options.perSecond);
+    it.run(settleTime + counted);
+    auto usedShare = static_cast<double>(it.grantedSince(advertisedAt + settleTime)) / (options.perSecond * std::chrono::duration<double>(counted).count());
+    return { .maxGrantedIn4s = it.maxGranted(advertisedAt + settleTime), .usedShare = usedShare };
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(LimitsOfEndpoints)
 
-BOOST_AUTO_TEST_CASE(all_nodes_together_keep_to_it_and_use_it)
+BOOST_AUTO_TEST_CASE(nodes_together_enforce_and_use_the_limit)
 {
-    constexpr double wellUsed = 0.75;
+    constexpr double minUsedShare = 0.75;
     for (const auto& fleet : fleets) {
         for (double perSecond : { 0.5, 1.0, 5.0, 20.0, 200.0 }) {
-            for (double excess : { 1.0, 3.0, 30.0 }) {
+            for (double overload : { 1.0, 3.0, 30.0 }) {
                 for (bool isSkewed : { false, true }) {
-                    auto figures = play({ .givers = fleet.givers, .perSecond = perSecond, .asksPerSecond = excess * perSecond + 4, .isSkewed = isSkewed, .delay = fleet.delay, .newsTime = fleet.newsTime });
-                    BOOST_TEST_CONTEXT(fleet.name << ", " << perSecond << " a second, asked for " << excess << " times as often" << (isSkewed ? " at one" : ""))
+                    auto result = simulate({ .granters = fleet.granters, .perSecond = perSecond, .creditRequestsPerSecond = overload * perSecond + 4, .isSkewed = isSkewed, .delay = fleet.delay, .propagationTime = fleet.propagationTime });
+                    BOOST_TEST_CONTEXT(fleet.name << ", " << perSecond << " a second, asked for " << overload << " times as often" << (isSkewed ? " at one" : ""))
                     {
-                        BOOST_TEST_MESSAGE(figures.most << " of " << allowed(perSecond) << ", used " << figures.used);
-                        BOOST_TEST(static_cast<double>(figures.most) <= allowed(perSecond));
-                        BOOST_TEST(figures.used >= wellUsed);
+                        BOOST_TEST_MESSAGE(result.maxGrantedIn4s << " of " << maxAllowed(perSecond) << ", used " << result.usedShare);
+                        BOOST_TEST(static_cast<double>(result.maxGrantedIn4s) <= maxAllowed(perSecond));
+                        BOOST_TEST(result.usedShare >= minUsedShare);
                     }
                 }
             }
@@ -62,61 +63,61 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_burst_of_asks_stays_within_it)
+BOOST_AUTO_TEST_CASE(burst_of_credit_requests_stays_within_limit)
 {
     for (const auto& fleet : fleets) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            LimitSimulation it({ .givers = fleet.givers, .perSecond = 1, .asksPerSecond = 2, .delay = fleet.delay, .newsTime = fleet.newsTime, .seed = seed });
-            auto namedAt = it.now();
-            it.name(0, 1);
+            LimitSimulation it({ .granters = fleet.granters, .perSecond = 1, .creditRequestsPerSecond = 2, .delay = fleet.delay, .propagationTime = fleet.propagationTime, .seed = seed });
+            auto advertisedAt = it.now();
+            it.advertise(0, 1);
             it.run(Milliseconds(6000));
-            it.setAsks(100);
+            it.setCreditRequests(100);
             it.run(Milliseconds(6000));
-            it.setAsks(2);
+            it.setCreditRequests(2);
             it.run(Milliseconds(4000));
-            it.setAsks(400);
+            it.setCreditRequests(400);
             it.run(Milliseconds(6000));
             BOOST_TEST_CONTEXT(fleet.name << ", seed " << seed)
-            BOOST_TEST(static_cast<double>(it.mostGiven(namedAt + settled)) <= allowed(1));
+            BOOST_TEST(static_cast<double>(it.maxGranted(advertisedAt + settleTime)) <= maxAllowed(1));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(lost_messages_and_nodes_that_start_anew_do_not_break_it)
+BOOST_AUTO_TEST_CASE(limit_holds_with_lost_messages_and_node_restarts)
 {
     for (const auto& fleet : fleets) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            LimitSimulation it({ .givers = fleet.givers, .perSecond = 2, .asksPerSecond = 60, .lossPart = 0.25, .delay = fleet.delay, .newsTime = fleet.newsTime, .seed = seed });
-            auto namedAt = it.now();
-            it.name(0, 2);
-            for (unsigned n = 0; n < fleet.givers; ++n) {
+            LimitSimulation it({ .granters = fleet.granters, .perSecond = 2, .creditRequestsPerSecond = 60, .lossShare = 0.25, .delay = fleet.delay, .propagationTime = fleet.propagationTime, .seed = seed });
+            auto advertisedAt = it.now();
+            it.advertise(0, 2);
+            for (unsigned n = 0; n < fleet.granters; ++n) {
                 it.run(Milliseconds(700));
-                it.kill(n);
+                it.stop(n);
                 it.run(Milliseconds(400));
                 it.restart(n);
             }
             it.run(Milliseconds(3000));
             BOOST_TEST_CONTEXT(fleet.name << ", seed " << seed)
-            BOOST_TEST(static_cast<double>(it.mostGiven(namedAt + settled)) <= allowed(2));
+            BOOST_TEST(static_cast<double>(it.maxGranted(advertisedAt + settleTime)) <= maxAllowed(2));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_lower_word_holds_at_once_and_everywhere)
+BOOST_AUTO_TEST_CASE(lower_limit_is_enforced_quickly_on_all_nodes)
 {
     for (const auto& fleet : fleets) {
-        LimitSimulation it({ .givers = fleet.givers, .perSecond = 50, .asksPerSecond = 300, .delay = fleet.delay, .newsTime = fleet.newsTime });
-        it.name(0, 50);
+        LimitSimulation it({ .granters = fleet.granters, .perSecond = 50, .creditRequestsPerSecond = 300, .delay = fleet.delay, .propagationTime = fleet.propagationTime });
+        it.advertise(0, 50);
         it.run(Milliseconds(5000));
         auto loweredAt = it.now();
-        it.name(1, 1);
+        it.advertise(1, 1);
         it.run(Milliseconds(500));
-        for (unsigned n = 0; n < fleet.givers; ++n)
+        for (unsigned n = 0; n < fleet.granters; ++n)
             BOOST_TEST((it.limits(n).perSecond({ .id = "i-1" }) == 1.0));
-        auto toldAt = it.now();
-        BOOST_TEST(it.givenSince(loweredAt) < 50U);
+        auto propagatedAt = it.now();
+        BOOST_TEST(it.grantedSince(loweredAt) < 50U);
         it.run(Milliseconds(10000));
-        BOOST_TEST(static_cast<double>(it.givenSince(toldAt)) <= 10 + 5);
+        BOOST_TEST(static_cast<double>(it.grantedSince(propagatedAt)) <= 10 + 5);
     }
 }
 
@@ -138,7 +139,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_names_nothing_needs_none)
+BOOST_AUTO_TEST_CASE(endpoint_without_limit_needs_no_credits)
 {
     EndpointCredits credits({}, 1);
     for (int n = 0; n < 100; ++n)
@@ -149,72 +150,72 @@
     BOOST_TEST(credits.take(endpoint, 1, start));
 }
 
-BOOST_AUTO_TEST_CASE(little_is_saved_up)
+BOOST_AUTO_TEST_CASE(idle_bucket_accumulates_few_credits)
 {
     auto credits = limitedTo(2);
     auto later = start + std::chrono::seconds(3600);
-    int given = 0;
+    int grantedCount = 0;
     for (int n = 0; n < 1000; ++n)
-        given += credits.take(endpoint, 0, later) ? 1 : 0;
-    BOOST_TEST(given == 2);
+        grantedCount += credits.take(endpoint, 0, later) ? 1 : 0;
+    BOOST_TEST(grantedCount == 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_credit_that_was_not_used_goes_to_the_next)
+BOOST_AUTO_TEST_CASE(returned_credit_is_granted_to_next_request)
 {
     auto credits = limitedTo(1);
     auto later = start + std::chrono::milliseconds(1100);
     BOOST_TEST(credits.take(endpoint, 1, later));
-    BOOST_TEST((credits.nextAt(endpoint, later) > later));
+    BOOST_TEST((credits.nextCreditAt(endpoint, later) > later));
     credits.giveBack(endpoint, later);
-    BOOST_TEST((credits.nextAt(endpoint, later) == later));
+    BOOST_TEST((credits.nextCreditAt(endpoint, later) == later));
     BOOST_TEST(credits.take(endpoint, 1, later));
     BOOST_TEST(!credits.take(endpoint, 1, later));
     credits.giveBack(endpoint, later);
     BOOST_TEST(!credits.take(endpoint, 1, later + Milliseconds(800)));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_takes_nothing_is_asked_seldom)
+BOOST_AUTO_TEST_CASE(endpoint_with_limit_zero_gets_few_credits)
 {
     auto credits = limitedTo(0);
-    int given = 0;
+    int grantedCount = 0;
     for (int n = 0; n < 60000; n += 10)
-        given += credits.take(endpoint, 1, start + Milliseconds(n)) ? 1 : 0;
-    BOOST_TEST(given >= 4);
-    BOOST_TEST(given <= 8);
+        grantedCount += credits.take(endpoint, 1, start + Milliseconds(n)) ? 1 : 0;
+    BOOST_TEST(grantedCount >= 4);
+    BOOST_TEST(grantedCount <= 8);
 }
 
-BOOST_AUTO_TEST_CASE(what_others_give_is_missing_here)
+BOOST_AUTO_TEST_CASE(grants_of_peers_are_charged)
 {
     auto credits = limitedTo(1);
     auto later = start + std::chrono::seconds(3);
-    credits.onUses("b", 7, { { .endpoint = hashOf(endpoint), .given = 2 } }, later);
+    credits.onPeerUses("b", 7, { { .endpoint = hashOf(endpoint), .granted = 2 } }, later);
     BOOST_TEST(!credits.take(endpoint, 1, later));
-    // The same told again, or late, is nothing new.
-    credits.onUses("b", 7, { { .endpoint = hashOf(endpoint), .given = 2 } }, later);
-    credits.onUses("b", 6, { { .endpoint = hashOf(endpoint), .given = 900 } }, later);
+    // Repeated and late reports charge nothing.
+    credits.onPeerUses("b", 7, { { .endpoint = hashOf(endpoint), .granted = 2 } }, later);
+    credits.onPeerUses("b", 6, { { .endpoint = hashOf(endpoint), .granted = 900 } }, later);
     BOOST_TEST(credits.take(endpoint, 0, later + std::chrono::milliseconds(1000)));
-    // A new life begins to count anew.
-    credits.onUses("b", 8, { { .endpoint = hashOf(endpoint), .given = 1 } }, later + std::chrono::milliseconds(2000));
+    // The counter of a new incarnation starts at 0.
+    credits.onPeerUses("b", 8, { { .endpoint = hashOf(endpoint), .granted = 1 } }, later + std::chrono::milliseconds(2000));
     BOOST_TEST(!credits.take(endpoint, 0, later + std::chrono::milliseconds(2000)));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_given_before_this_node_began_is_not_charged)
+BOOST_AUTO_TEST_CASE(grants_before_the_bucket_existed_are_not_charged)
 {
     auto credits = limitedTo(1);
-    credits.onUses("b", 7, { { .endpoint = hashOf(endpoint), .given = 500 } }, start + Milliseconds(20));
+    credits.onPeerUses("b", 7, { { .endpoint = hashOf(endpoint), .granted = 500 } }, start + Milliseconds(20));
     BOOST_TEST(credits.take(endpoint, 1, start + Milliseconds(1100)));
 }
 
-BOOST_AUTO_TEST_CASE(a_great_overshoot_is_paid_back_for_four_seconds)
+BOOST_AUTO_TEST_CASE(debt_is_capped_at_four_seconds_of_rate)
 {
     auto credits = limitedTo(1);
     auto later = start + std::chrono::seconds(3);
-    credits.onUses("b", 7, { { .endpoint = hashOf(endpoint), .given = 500 } }, later);
+    credits.onPeerUses("b", 7, { { .endpoint = hashOf(endpoint), .granted = 500 } }, later);
     BOOST_TEST(!credits.take(endpoint, 0, later + Milliseconds(4900)));
     BOOST_TEST(credits.take(endpoint, 0, later + Milliseconds(5100)));
 }
 
-BOOST_AUTO_TEST_CASE(what_silent_nodes_may_give_is_left_to_them)
+BOOST_AUTO_TEST_CASE(share_of_unreachable_nodes_is_not_granted)
 {
     auto credits = limitedTo(1);
     credits.setSpeakingPart(0.5);
@@ -222,23 +223,24 @@
     BOOST_TEST(credits.take(endpoint, 1, start + Milliseconds(2100)));
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_no_node_can_mean_change_nothing)
+BOOST_AUTO_TEST_CASE(invalid_request_rates_are_ignored)
 {
     auto credits = limitedTo(1);
     for (double asks : { -1.0, std::numeric_limits<double>::infinity(), std::numeric_limits<double>::quiet_NaN() })
-        credits.onUses("b", 7, { { .endpoint = hashOf(endpoint), .given = 500, .asksPerSecond = asks } }, start + Milliseconds(1000));
+        credits.onPeerUses("b", 7, { { .endpoint = hashOf(endpoint), .granted = 500, .creditRequestsPerSecond = asks } }, start + Milliseconds(1000));
     BOOST_TEST(credits.take(endpoint, 1, start + Milliseconds(1100)));
 }
 
-// A node whose clock was ahead ended a limit for as long as it was ahead, whatever the endpoint said meanwhile.
-BOOST_AUTO_TEST_CASE(a_word_from_the_future_says_nothing)
+// Guards against a node whose clock is ahead: its answer without a limit overrode all limits advertised until the other clocks had caught
+// up.
+BOOST_AUTO_TEST_CASE(limit_with_future_timestamp_is_ignored)
 {
     EndpointLimits limits({}, 1);
     limits.hear({ .endpoint = endpoint, .perSecond = 1, .sentAt = 1000, .heardAt = 1010 }, start);
-    LimitNews news { .node = "b", .lifetime = 1, .words = { { .endpoint = endpoint, .perSecond = unlimitedPerSecond, .sentAt = 6000, .heardAt = 6010 } } };
-    BOOST_TEST(!limits.onNews(news, 1020, start));
+    LimitNews limitMessage { .node = "b", .lifetime = 1, .words = { { .endpoint = endpoint, .perSecond = unlimitedPerSecond, .sentAt = 6000, .heardAt = 6010 } } };
+    BOOST_TEST(!limits.onNews(limitMessage, 1020, start));
     BOOST_TEST(limits.isLimited(endpoint));
-    BOOST_TEST(limits.onNews(news, 6020, start));
+    BOOST_TEST(limits.onNews(limitMessage, 6020, start));
     BOOST_TEST(!limits.isLimited(endpoint));
 }
 
--- a/tests/modules/limits/test_limit_words.cpp
+++ b/tests/modules/limits/test_limit_words.cpp
@@ -1,4 +1,5 @@
-// Which of the words holds that nodes heard of an endpoint, in whatever order they come.
+// Tests which of the limits that an endpoint advertised is in force, independent of the order in which nodes receive them, and the retry
+// delays of refused clients.
 #include "modules/limits/limit_words.h"
 
 #include "modules/limits/return_times.h"
@@ -11,103 +12,103 @@
 
 const EndpointLife endpoint { .id = "i-1", .born = 5 };
 
-LimitWord word(double perSecond, std::uint64_t sentAt, std::uint64_t heardAt) { return { .endpoint = endpoint, .perSecond = perSecond, .sentAt = sentAt, .heardAt = heardAt }; }
+LimitWord limit(double perSecond, std::uint64_t sentAt, std::uint64_t heardAt) { return { .endpoint = endpoint, .perSecond = perSecond, .sentAt = sentAt, .heardAt = heardAt }; }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(LimitWordsOfEndpoints)
 
-BOOST_AUTO_TEST_CASE(it_holds_until_an_answer_to_a_later_request_names_none)
+BOOST_AUTO_TEST_CASE(limit_holds_until_answer_to_later_request_has_none)
 {
-    LimitWords words;
-    BOOST_TEST(words.hear(word(2, 100, 200)));
-    BOOST_TEST((words.perSecond(endpoint) == 2.0));
-    // Sent before the endpoint was heard to name it.
-    BOOST_TEST(!words.hear(word(unlimitedPerSecond, 150, 300)));
-    BOOST_TEST((words.perSecond(endpoint) == 2.0));
-    BOOST_TEST(words.hear(word(unlimitedPerSecond, 201, 310)));
-    BOOST_TEST(!words.perSecond(endpoint));
-    // Late words of the time before.
-    BOOST_TEST(!words.hear(word(2, 120, 199)));
-    BOOST_TEST(!words.perSecond(endpoint));
-    BOOST_TEST(words.hear(word(3, 311, 320)));
-    BOOST_TEST((words.perSecond(endpoint) == 3.0));
+    AdvertisedLimits limits;
+    BOOST_TEST(limits.update(limit(2, 100, 200)));
+    BOOST_TEST((limits.perSecond(endpoint) == 2.0));
+    // Answer to a request that was sent before the limit was received: the order is unknown, so the limit stays.
+    BOOST_TEST(!limits.update(limit(unlimitedPerSecond, 150, 300)));
+    BOOST_TEST((limits.perSecond(endpoint) == 2.0));
+    BOOST_TEST(limits.update(limit(unlimitedPerSecond, 201, 310)));
+    BOOST_TEST(!limits.perSecond(endpoint));
+    // Late limit from before the limit was lifted.
+    BOOST_TEST(!limits.update(limit(2, 120, 199)));
+    BOOST_TEST(!limits.perSecond(endpoint));
+    BOOST_TEST(limits.update(limit(3, 311, 320)));
+    BOOST_TEST((limits.perSecond(endpoint) == 3.0));
 }
 
-BOOST_AUTO_TEST_CASE(a_lower_one_holds_at_once_and_a_higher_one_when_it_is_certainly_later)
+BOOST_AUTO_TEST_CASE(lower_limit_holds_immediately_and_higher_one_only_if_certainly_later)
 {
-    LimitWords words;
-    words.hear(word(10, 100, 200));
-    BOOST_TEST(words.hear(word(1, 150, 180)));
-    BOOST_TEST(!words.hear(word(10, 170, 210)));
-    BOOST_TEST((words.perSecond(endpoint) == 1.0));
-    BOOST_TEST(words.hear(word(10, 181, 220)));
-    BOOST_TEST((words.perSecond(endpoint) == 10.0));
-    BOOST_TEST(!words.hear(word(1, 50, 99)));
-    BOOST_TEST((words.perSecond(endpoint) == 10.0));
+    AdvertisedLimits limits;
+    limits.update(limit(10, 100, 200));
+    BOOST_TEST(limits.update(limit(1, 150, 180)));
+    BOOST_TEST(!limits.update(limit(10, 170, 210)));
+    BOOST_TEST((limits.perSecond(endpoint) == 1.0));
+    BOOST_TEST(limits.update(limit(10, 181, 220)));
+    BOOST_TEST((limits.perSecond(endpoint) == 10.0));
+    BOOST_TEST(!limits.update(limit(1, 50, 99)));
+    BOOST_TEST((limits.perSecond(endpoint) == 10.0));
 }
 
-BOOST_AUTO_TEST_CASE(joining_does_not_depend_on_the_order_of_two)
+BOOST_AUTO_TEST_CASE(merge_is_commutative)
 {
-    for (const auto& left : { word(1, 10, 20), word(5, 15, 18), word(unlimitedPerSecond, 21, 30), word(5, 21, 25) }) {
-        for (const auto& right : { word(1, 12, 14), word(5, 40, 50), word(unlimitedPerSecond, 5, 60) })
-            BOOST_TEST((joinWords(left, right) == joinWords(right, left)));
+    for (const auto& left : { limit(1, 10, 20), limit(5, 15, 18), limit(unlimitedPerSecond, 21, 30), limit(5, 21, 25) }) {
+        for (const auto& right : { limit(1, 12, 14), limit(5, 40, 50), limit(unlimitedPerSecond, 5, 60) })
+            BOOST_TEST((mergeLimits(left, right) == mergeLimits(right, left)));
     }
 }
 
-BOOST_AUTO_TEST_CASE(another_life_has_said_nothing)
+BOOST_AUTO_TEST_CASE(limit_applies_to_one_incarnation_only)
 {
-    LimitWords words;
-    words.hear(word(2, 100, 200));
-    BOOST_TEST(!words.perSecond({ .id = "i-1", .born = 6 }));
-    BOOST_TEST(!words.perSecond({ .id = "i-2", .born = 5 }));
+    AdvertisedLimits limits;
+    limits.update(limit(2, 100, 200));
+    BOOST_TEST(!limits.perSecond({ .id = "i-1", .born = 6 }));
+    BOOST_TEST(!limits.perSecond({ .id = "i-2", .born = 5 }));
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_none_can_mean_say_nothing)
+BOOST_AUTO_TEST_CASE(invalid_limits_are_ignored)
 {
-    LimitWords words;
+    AdvertisedLimits limits;
     for (double perSecond : { -1.0, 2 * unlimitedPerSecond, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity() })
-        BOOST_TEST(!words.hear(word(perSecond, 1, 2)));
-    BOOST_TEST(!words.hear({ .perSecond = 1, .sentAt = 1, .heardAt = 2 }));
-    BOOST_TEST(words.isEmpty());
+        BOOST_TEST(!limits.update(limit(perSecond, 1, 2)));
+    BOOST_TEST(!limits.update({ .perSecond = 1, .sentAt = 1, .heardAt = 2 }));
+    BOOST_TEST(limits.isEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(of_many_each_is_told_in_its_turn)
+BOOST_AUTO_TEST_CASE(entries_to_send_rotate)
 {
-    LimitWords words;
+    AdvertisedLimits limits;
     for (int n = 0; n < 10; ++n)
-        words.hear({ .endpoint = { .id = std::to_string(n) }, .perSecond = 1, .sentAt = 1, .heardAt = 2 });
-    std::map<std::string, int> told;
+        limits.update({ .endpoint = { .id = std::to_string(n) }, .perSecond = 1, .sentAt = 1, .heardAt = 2 });
+    std::map<std::string, int> sent;
     for (int n = 0; n < 5; ++n) {
-        auto some = words.takeTold(4);
-        BOOST_TEST(some.size() == 4U);
-        for (const auto& it : some)
-            ++told[it.endpoint.id];
+        auto batch = limits.nextToSend(4);
+        BOOST_TEST(batch.size() == 4U);
+        for (const auto& it : batch)
+            ++sent[it.endpoint.id];
     }
-    BOOST_TEST(told.size() == 10U);
-    for (const auto& [id, times] : told)
+    BOOST_TEST(sent.size() == 10U);
+    for (const auto& [id, times] : sent)
         BOOST_TEST(times == 2);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_over_is_forgotten_after_a_minute_and_what_holds_is_not)
+BOOST_AUTO_TEST_CASE(only_expired_or_unused_entries_are_removed_after_a_minute)
 {
-    LimitWords words;
-    words.hear(word(2, 100, 200));
-    words.hear({ .endpoint = { .id = "i-2" }, .perSecond = 1, .sentAt = 100, .heardAt = 200 });
+    AdvertisedLimits limits;
+    limits.update(limit(2, 100, 200));
+    limits.update({ .endpoint = { .id = "i-2" }, .perSecond = 1, .sentAt = 100, .heardAt = 200 });
     auto isUsed = [](const EndpointLife& life) { return life == endpoint; };
-    BOOST_TEST(words.forgetOld(60000, isUsed).empty());
-    BOOST_TEST(words.forgetOld(60201, isUsed).size() == 1U);
-    BOOST_TEST((words.perSecond(endpoint) == 2.0));
-    words.hear(word(unlimitedPerSecond, 60300, 60400));
-    BOOST_TEST(words.forgetOld(120401, isUsed).size() == 1U);
-    BOOST_TEST(words.isEmpty());
+    BOOST_TEST(limits.removeExpired(60000, isUsed).empty());
+    BOOST_TEST(limits.removeExpired(60201, isUsed).size() == 1U);
+    BOOST_TEST((limits.perSecond(endpoint) == 2.0));
+    limits.update(limit(unlimitedPerSecond, 60300, 60400));
+    BOOST_TEST(limits.removeExpired(120401, isUsed).size() == 1U);
+    BOOST_TEST(limits.isEmpty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(TimesOfReturn)
 
-BOOST_AUTO_TEST_CASE(callers_come_back_one_after_the_other)
+BOOST_AUTO_TEST_CASE(clients_retry_one_after_the_other)
 {
     ReturnTimes times;
     SteadyTime now { std::chrono::seconds(100) };
@@ -119,14 +120,14 @@
     BOOST_TEST((times.next("s", now + Milliseconds(3000), 4, now + Milliseconds(3000)) == Milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(nobody_is_told_more_than_the_longest_time)
+BOOST_AUTO_TEST_CASE(retry_delay_never_exceeds_maximum)
 {
     ReturnTimes times;
     SteadyTime now { std::chrono::seconds(100) };
     Milliseconds longest {};
     for (int n = 0; n < 100; ++n)
         longest = std::max(longest, times.next("s", now, 0.001, now));
-    BOOST_TEST((longest <= ReturnTimesOptions {}.longest));
+    BOOST_TEST((longest <= ReturnTimesOptions {}.maxDelay));
     BOOST_TEST((longest > Milliseconds(0)));
 }
 
--- a/tests/modules/limits/test_team_limits.cpp
+++ b/tests/modules/limits/test_team_limits.cpp
@@ -12,7 +12,7 @@
 
 SteadyTime at(int milliseconds) { return start + Milliseconds(milliseconds); }
 
-// Of a peer that started when this node did.
+// Uptime of a peer that started at the same time as this node.
 Milliseconds age(SteadyTime now) { return toMilliseconds(now - start); }
 
 TrafficTeam team(double rate) { return { .name = "t", .countsTokens = true, .ratePerSecond = rate, .burst = rate }; }
@@ -27,7 +27,7 @@
     BOOST_TEST(!limits.admit(team(0), 1e9, at(0)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_says_when_to_come_back)
+BOOST_AUTO_TEST_CASE(refusal_returns_retry_delay)
 {
     TeamLimits limits(start);
     BOOST_TEST(!limits.admit(team(100), 250, at(5000)).has_value());
@@ -37,7 +37,7 @@
     BOOST_TEST(!limits.admit(team(100), 1, at(6600)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(what_did_not_run_is_given_back)
+BOOST_AUTO_TEST_CASE(refund_restores_level_and_total)
 {
     TeamLimits limits(start);
     BOOST_TEST(!limits.admit(team(100), 250, at(5000)).has_value());
@@ -46,31 +46,31 @@
     BOOST_TEST(limits.ownTotals().at("t") == 1);
 }
 
-// Found by the bench: a node that had not served a team for a while was charged all that its peers had let through meanwhile.
-BOOST_AUTO_TEST_CASE(peers_use_in_the_past_costs_nothing_now)
+// Guards against charging a node that did not serve a team for a while for all that its peers admitted in the meantime.
+BOOST_AUTO_TEST_CASE(past_use_of_peers_is_not_charged)
 {
     TeamLimits limits(start);
     for (int n = 0; n <= 40; ++n)
         limits.onPeer("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
-    // The peer has used 80 of 100 a second for ten seconds.
+    // The peer used 80 of 100 per second for ten seconds.
     BOOST_TEST(!limits.admit(team(100), 1, at(10000)).has_value());
     for (int n = 41; n <= 80; ++n)
         limits.onPeer("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
     BOOST_TEST(!limits.admit(team(100), 1, at(20000)).has_value());
 }
 
-// A node that starts in a running fleet takes what its peers use on average as used since its own start.
-BOOST_AUTO_TEST_CASE(a_late_starter_counts_what_others_use_meanwhile)
+// A node that starts in a running fleet estimates what its peers used since its own start from their average rate.
+BOOST_AUTO_TEST_CASE(late_starter_charges_use_of_peers_since_its_start)
 {
     TeamLimits limits(start, { .expectedNodes = 2 });
-    // The peer has let through 90 a second for a hundred seconds; half a second of it is since this node's start.
+    // The peer admitted 90 per second for 100 s; only 0.5 s of this is after this node's start.
     limits.onPeer("p", 1, Milliseconds(100000), { { "t", 9000.0 } }, at(500));
     BOOST_TEST(!limits.admit(team(100), 4, at(500)).has_value());
     BOOST_TEST(limits.admit(team(100), 4, at(500)).has_value() == false);
     BOOST_TEST(limits.admit(team(100), 4, at(500)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(rows_in_a_bunch_are_no_burst)
+BOOST_AUTO_TEST_CASE(delayed_reports_are_not_taken_for_a_burst)
 {
     TeamLimits limits(start);
     limits.onPeer("p", 1, age(at(4000)), { { "t", 0.0 } }, at(4000));
@@ -80,8 +80,8 @@
     BOOST_TEST(!limits.admit(team(1000), 1, at(5300)).has_value());
 }
 
-// Several nodes with the same demand, rows each 250 ms: together they stay inside the limit with its allowance, and do not waste it.
-BOOST_AUTO_TEST_CASE(nodes_together_keep_the_limit)
+// Nodes with equal demand that exchange reports every 250 ms together stay within the limit with its allowance, and use most of it.
+BOOST_AUTO_TEST_CASE(nodes_together_enforce_the_limit)
 {
     constexpr int nodes = 9;
     constexpr double rate = 50000;
@@ -93,10 +93,10 @@
     constexpr int begin = 3000;
     constexpr int end = 23000;
     for (int now = begin; now < end; now += 5) {
-        // 340,000 tokens a second are asked for: seven times the limit.
-        auto wanted = amount(random);
-        if (now % 25 == 0 && !limits[node(random)].admit(team(rate), wanted, at(now)))
-            admitted += wanted;
+        // The demand is 340,000 tokens per second, seven times the limit.
+        auto requestedAmount = amount(random);
+        if (now % 25 == 0 && !limits[node(random)].admit(team(rate), requestedAmount, at(now)))
+            admitted += requestedAmount;
         if (now % 250 != 0)
             continue;
         for (int from = 0; from < nodes; ++from) {
@@ -111,9 +111,9 @@
     BOOST_TEST(admitted > allowed * 0.8);
 }
 
-// Found by the bench: all nodes of a fleet of ninety were killed twice, and each filled the limit at the whole rate until it knew the
-// others.
-BOOST_AUTO_TEST_CASE(a_fleet_that_starts_anew_keeps_the_limit_before_its_nodes_know_each_other)
+// Guards against a fleet restart that exceeds the limit: after all nodes of a fleet of 90 were killed, twice, each node spent the
+// complete rate until it knew the others.
+BOOST_AUTO_TEST_CASE(restarted_fleet_enforces_limit_before_nodes_know_each_other)
 {
     constexpr int nodes = 91;
     constexpr double rate = 50000;
@@ -123,12 +123,12 @@
     double admitted = 0;
     constexpr int end = 8000;
     for (int now = 100; now < end; now += 5) {
-        // Twelve times the limit is asked for.
+        // The demand is twelve times the limit.
         if (!limits[node(random)].admit(team(rate), 3000, at(now)))
             admitted += 3000;
         if (now % 250 != 0)
             continue;
-        // Each hears eight others, drawn anew each time.
+        // Each node receives the reports of eight randomly selected nodes.
         for (int to = 0; to < nodes; ++to) {
             for (int n = 0; n < 8; ++n) {
                 auto from = node(random);
@@ -142,8 +142,9 @@
     BOOST_TEST(admitted > rate * end / 1000 * 0.5);
 }
 
-// Found by the bench: a gate's confirmations of 200 tokens were refused because a manifest of 27,000 had just been let through.
-BOOST_AUTO_TEST_CASE(small_requests_pass_while_a_large_one_is_paid_back_and_the_rate_stays)
+// Guards against refusing small requests behind a large one: confirmations of 200 tokens were refused because a request of 27,000 tokens
+// had just been admitted.
+BOOST_AUTO_TEST_CASE(small_requests_are_admitted_during_debt_and_rate_is_kept)
 {
     TeamLimits limits(start);
     BOOST_TEST(!limits.admit(team(50000), 75000, at(5000)).has_value());
@@ -158,15 +159,15 @@
     }
     BOOST_TEST(admitted < 50000.0 * 21);
     BOOST_TEST(admitted > 50000.0 * 19);
-    // A peer that went silent may be doing the same.
+    // A peer that stopped reporting may accumulate the same debt.
     limits.onPeer("p", 1, age(at(25000)), { { "t", 0.0 } }, at(25000));
     BOOST_TEST(limits.admit(team(50000), 200, at(30000)).has_value() == false);
     BOOST_TEST(!limits.admit(team(50000), 75000, at(30000)).has_value());
     BOOST_TEST(limits.admit(team(50000), 200, at(30000)).has_value());
 }
 
-// Cut off from all others, each node keeps to an even share.
-BOOST_AUTO_TEST_CASE(a_node_that_is_cut_off_keeps_to_its_share)
+// A node that is cut off from all others spends only its even share.
+BOOST_AUTO_TEST_CASE(isolated_node_spends_only_its_share)
 {
     TeamLimits limits(start);
     for (int n = 0; n <= 12; ++n) {
@@ -186,7 +187,7 @@
 
 BOOST_AUTO_TEST_SUITE(SharedRetryBudgetTests)
 
-BOOST_AUTO_TEST_CASE(all_nodes_together_stay_inside_the_budget)
+BOOST_AUTO_TEST_CASE(nodes_together_stay_within_retry_budget)
 {
     constexpr int nodes = 9;
     SharedRetryBudgetOptions options { .perRequest = 0.2, .reserve = 58 };
