--- a/modules/suspects/request_digest.h
+++ b/modules/suspects/request_digest.h
@@ -1,4 +1,4 @@
-// What makes two requests the same one, whatever ids their callers give them: the team, the host, the path with the query, and the body.
+// Digest that identifies equal requests regardless of the ids that clients assign: same team, host, path with query, and body.
 #pragma once
 
 #include "core/digest.h"
@@ -10,12 +10,12 @@
 namespace Onyxnotch {
 
 struct RequestDigest {
-    std::uint32_t team { 0 }; // Of the team's name; 0 for requests without a team.
-    std::uint64_t content { 0 }; // Of all else.
+    std::uint32_t team { 0 }; // Hash of the team's name; 0 for requests without a team.
+    std::uint64_t content { 0 }; // Hash of host, path with query, and body.
 
     auto operator<=>(const RequestDigest&) const = default;
 
-    // For logs and names: "TEAM-CONTENT" in hex.
+    // Returns "TEAM-CONTENT" in hex, for logs and object names.
     std::string text() const
     {
         char buf[32];
@@ -27,10 +27,12 @@
     void serialize(Archive& archive) { archive(team, content); }
 };
 
-// The digest of a request whose body is whole. The method is left out: what an endpoint reads is the path and the body.
+// Calculates the digest of a request whose body has been received completely. The method is left out: endpoints only use the path and the
+// body.
 inline RequestDigest digestOf(std::string_view team, std::string_view host, std::string_view target, std::string_view body)
 {
-    constexpr std::uint64_t spread = 0x9e3779b97f4a7c15U; // Keeps equal texts in different places from cancelling each other out.
+    // Makes the hash depend on the position of each text, so that equal texts in different places don't cancel each other out.
+    constexpr std::uint64_t spread = 0x9e3779b97f4a7c15U;
     auto content = fastHash(lowerCase(std::string(host)));
     content = content * spread + fastHash(target);
     content = content * spread + fastHash(body);
--- a/modules/suspects/shared_suspects.h
+++ b/modules/suspects/shared_suspects.h
@@ -1,4 +1,4 @@
-// A book of suspects that several threads use.
+// A SuspectBook protected by a mutex, for use by several threads.
 #pragma once
 
 #include "modules/suspects/suspect_book.h"
@@ -13,7 +13,7 @@
     {
     }
 
-    // Runs `work` with the book; nobody else uses it meanwhile.
+    // Calls `work` with the book while holding the lock, and returns its result.
     template <typename Work>
     auto use(Work work)
     {
--- a/modules/suspects/suspect_book.h
+++ b/modules/suspects/suspect_book.h
@@ -1,11 +1,10 @@
-// Which requests end the endpoints that run them, over all nodes: what may still be sent and what may not.
-//
-// A request that is the same in team, host, path and body and was running at three lives of endpoints when they ended unannounced, and that no
-// endpoint has answered well since, is blocked: a caller that repeats it could otherwise end every endpoint of the service, and all that
-// runs beside it. One that was answered well shortly before may only have been there as a zone was lost: it is blocked when endpoints have
-// ended under it at several moments, and too little of what was sent since has come back well. Reports of ends, blocked requests, those that
-// are cleared and those that are vouched for are told to all nodes; a node is wrong for as long as news take, and no longer. Pure, with the
-// time passed in. Belongs to the request thread.
+// Finds requests that crash the endpoints that run them, over all nodes, and decides which requests may be sent.
+// A request is identified by team, host, path and body. It is blocked if it was running at three endpoint incarnations when they ended
+// unannounced, and no endpoint has answered it well since: a client that repeats it could otherwise end every endpoint of the service,
+// and all other requests there. If it was answered well shortly before, it may only have been present by chance when a zone was lost. It
+// is then blocked only if endpoints ended under it at several separate moments, and too few copies sent since were answered well.
+// Endpoint ends, blocked, cleared and known good requests are reported to all nodes; a node may decide wrongly until a report arrives. A
+// pure state machine; the current time is passed in. Used by the request thread only.
 #pragma once
 
 #include "core/clock.h"
@@ -19,47 +18,50 @@
 namespace Onyxnotch {
 
 struct SuspectOptions {
-    std::string node {}; // By whose name trials are spread over the nodes.
-    // Ended under one request, before it is blocked; 0: nothing is ever suspected. Two may have ended of another cause at the same time,
-    // and a request that comes once would be blocked for it.
+    std::string node {}; // Name of this node; the time of its trials depends on it.
+    // Number of ended incarnations until a request is blocked; 0 disables all suspicion. Two could end at the same time for another
+    // reason, and would block a request that was sent only once.
     unsigned livesUntilBlocked { 3 };
-    // A request under which so many have ended runs once at a time at a node: it may take seconds to end an endpoint, and would reach
-    // several meanwhile. From one on, requests that are only popular would be held back.
+    // From this number of ended incarnations on, a node runs one copy of the request at a time: it may take seconds to end an endpoint,
+    // and would reach several in the meantime. With a value of 1, popular requests would be delayed.
     unsigned livesUntilOneAtATime { 2 };
-    // A request under which so many have ended gets no second endpoint within one try of its caller: its caller may come again.
+    // From this number of ended incarnations on, a request isn't retried at a second endpoint within one attempt of its client; the
+    // client itself may retry.
     unsigned livesUntilOneTry { 2 };
-    Milliseconds reportKept { 600000 }; // Ten minutes: a caller that comes again more rarely ends few endpoints.
-    Milliseconds reportTold { 5000 }; // Twenty rows: nobody misses all of them.
-    Milliseconds clearedTold { 1000 }; // Four rows. For as long it is told what was answered well before.
-    Milliseconds goneKept { 60000 }; // For which a life that is gone is remembered: longer than any request runs.
-    // A good answer speaks for a request, for so long since it was sent: what ends beside it counts by moments and zones then. Shorter, and
-    // what few send is blamed for endpoints that ended of their own accord; longer, and one that turns ends some more.
-    Milliseconds goodAnswerCounts { 20000 };
-    // Moments at which endpoints ended under such a request, before it is blocked. Fewer would block what everybody sends while endpoints
-    // end of their own accord.
+    Milliseconds reportRetention { 600000 }; // Ten minutes: clients that repeat a request less often end few endpoints.
+    Milliseconds reportSendPeriod { 5000 }; // Own findings are sent for this duration: 20 status messages, so that no node misses all of them.
+    Milliseconds clearedSendPeriod { 1000 }; // Cleared and known good requests are sent for this duration: 4 status messages.
+    Milliseconds removedRetention { 60000 }; // A removed incarnation is remembered for this duration, which exceeds the run time of any request.
+    // Validity of a good answer, from the time its request was sent. During it, endpoint ends are counted by separate moments and zones.
+    // A shorter value blames rarely sent requests for endpoints that ended for other reasons; with a longer one, a request that turns bad
+    // ends more endpoints.
+    Milliseconds goodAnswerValidity { 20000 };
+    // Number of separate moments at which endpoints ended under a known good request until it is blocked. A lower value would block
+    // popular requests while endpoints end for other reasons.
     unsigned momentsUntilBlocked { 6 };
-    // Of them, each good answer to what was sent afterwards speaks against so many: a request that ends every third endpoint is stopped, too.
-    unsigned endsForgiven { 2 };
-    // What ends in one zone within this time is one moment: a zone that is lost ends little by little, as nodes find it out.
-    Milliseconds momentLasts { 500 };
-    // How long after its caller has left, or its time is over, a request may still be what ends its endpoint. An endpoint that falls
-    // silent is missed after three heartbeats at most.
-    Milliseconds presentAfter { 6000 };
-    // For how long after the same a lost connection of another request there speaks against it.
-    Milliseconds blamedAfter { 2000 };
-    // Until a node may try a blocked request again: another version of the service may run it well. Doubled each round. Each node waits up
-    // to twice as long by its name, so that one after the other tries.
+    // Number of counted ends that one good answer removes, if the answered copy was sent after them. Small enough that a request that
+    // ends every third endpoint is blocked, too.
+    unsigned endsClearedPerAnswer { 2 };
+    // Ends in one zone within this time count as one moment: nodes detect the loss of a zone's endpoints one after the other.
+    Milliseconds momentDuration { 500 };
+    // An abandoned copy (its client disconnected, or its deadline passed) is suspected if its endpoint is removed within this time: a
+    // silent endpoint is detected after at most three heartbeats.
+    Milliseconds abandonedSuspectPeriod { 6000 };
+    // An abandoned copy is also suspected if another request loses its connection to the same endpoint within this time.
+    Milliseconds abandonedBlamePeriod { 2000 };
+    // Time until a node may send a blocked request as a trial, as another version of the service may run it well. Doubled each round. A
+    // delay of up to the same time again, derived from the node's name, is added so that nodes try one after the other.
     Milliseconds blockedFor { 600000 };
-    unsigned mostDoublings { 7 }; // Then it is some 21 hours.
-    std::size_t mostSuspects { 4096 }; // Some 700 bytes each, with three lives.
+    unsigned maxDoublings { 7 }; // Limits the time to about 21 hours.
+    std::size_t mostSuspects { 4096 }; // About 700 bytes each, with three incarnations.
     std::size_t mostBlocked { 1024 }; // 100 bytes each.
-    std::size_t goodAnswersKept { 4096 }; // 32 bytes each.
+    std::size_t goodAnswerSlots { 4096 }; // 32 bytes each.
 };
 
-// What may be done with a request.
+// Whether a request may be sent.
 enum class SuspectVerdict {
     Free,
-    OneAtATime, // Endpoints have ended under it: this node sends no second one while one runs.
+    OneAtATime, // Endpoints have ended under the request: this node sends no second copy while one is running.
     Blocked,
 };
 
@@ -68,135 +70,141 @@
     explicit SuspectBook(SuspectOptions options = {});
 
     SuspectVerdict verdict(const RequestDigest&, SteadyTime now) const;
-    // The verdict put together with what runs at this node: whether it may be sent now.
+    // Applies the verdict to the copies that run at this node: returns true if the request may be sent now.
     bool maySend(const RequestDigest&, SteadyTime now) const;
-    // Whether it may go to a second endpoint within one try of its caller.
+    // Returns true if the request may be sent to a second endpoint within one attempt of its client.
     bool maySendAgain(const RequestDigest&, SteadyTime now) const;
-    // How many lives of endpoints have ended under it, as far as this node knows.
+    // Number of endpoint incarnations that ended under the request, as far as this node knows.
     unsigned endedLives(const RequestDigest&) const;
-    // For how long a blocked request is blocked at this node.
+    // Time until this node may send a blocked request as a trial; 0 if it isn't blocked.
     Milliseconds blockedLeft(const RequestDigest&, SteadyTime now) const;
 
-    // The request is sent to that life, in a zone by its hash, 0 where it is not known; exactly one of the ends below follows.
+    // The request was sent to that incarnation. `zone` is the hash of its zone, 0 if unknown. Must be followed by exactly one call of
+    // onAnswered(), onEnded(), onLeft() or onLost().
     void onSent(const RequestDigest&, std::uint64_t life, std::uint16_t zone = 0);
-    // What was sent at `sentAt` was answered well. It speaks for the request, and takes away some of what was found before it was sent; all
-    // of it if the request was blocked and on trial by then.
+    // The copy sent at `sentAt` was answered well. Makes the request known good, and removes some of the ends counted before `sentAt`;
+    // all of them if the request was blocked and this copy was a trial.
     void onAnswered(const RequestDigest&, std::uint64_t life, SteadyTime sentAt, SteadyTime now);
-    // It ended in a way that says nothing of the endpoint's life: refused, a failure as the answer.
+    // The request ended in a way that says nothing about the endpoint's health: refused, or answered with an error.
     void onEnded(const RequestDigest&, std::uint64_t life);
-    // Its caller left, or its time is over: it may run on.
+    // The client disconnected, or the deadline passed: the endpoint may still run the request.
     void onLeft(const RequestDigest&, std::uint64_t life, SteadyTime now);
-    // The endpoint lost the connection, and had not announced that it leaves.
+    // The connection was lost, and the endpoint had not announced that it shuts down.
     void onLost(const RequestDigest&, std::uint64_t life, SteadyTime now);
-    // That life is no longer listed, and had not announced that it leaves. What runs there may still be answered; what is given up there,
-    // or was given up just before, is suspected.
+    // The incarnation is no longer listed, and had not announced that it shuts down. Copies that run there may still be answered; copies
+    // that are abandoned there, or were shortly before, are suspected.
     void onLifeGone(std::uint64_t life, SteadyTime now);
 
     void onNews(const SuspectNews&, SteadyTime now);
-    // What this node tells: what it has found itself, and everything that is blocked.
+    // Returns what this node publishes: its own findings, and all blocked requests.
     SuspectNews news(SteadyTime now);
-    // What a relay tells on at once: besides, what others have found of requests under which several endpoints ended.
+    // Returns what a relay node forwards immediately: in addition to news(), findings of other nodes about requests under which several
+    // endpoints ended.
     SuspectNews relayedNews(SteadyTime now);
-    // Whether something was found since the last call that the others had better know at once.
+    // Returns true if this node found something since the last call that should be sent to the other nodes immediately.
     bool takeHasNews() { return std::exchange(m_hasNews, false); }
 
-    // Whether others have told something since the last call that a relay had better tell on at once: a request under which a second
-    // endpoint ended, a blocked one, a cleared one. What ends with a zone, each request with one endpoint, is none of it.
+    // Returns true if other nodes reported something since the last call that a relay node should forward immediately: a request under
+    // which a second endpoint ended, or a blocked, cleared or known good request. Requests with one ended endpoint each, as after the
+    // loss of a zone, aren't included.
     bool takeWorthRelaying() { return std::exchange(m_worthRelaying, false); }
 
-    // Blocked since the last call and suspected by this node itself: for the store, and the log.
+    // Returns the requests that were blocked since the last call and that this node itself suspected, for the store and the log.
     std::vector<BlockedRequest> takeNewlyBlocked() { return std::exchange(m_newlyBlocked, {}); }
-    // Blocked once and cleared since the last call, for the same.
+    // Returns the requests whose block was lifted since the last call, for the store and the log.
     std::vector<RequestDigest> takeNewlyCleared() { return std::exchange(m_newlyCleared, {}); }
     std::size_t blockedRequests() const { return m_blocked.size(); }
-    // Forgets what is too old. Call it now and then.
+    // Removes expired entries. Must be called periodically.
     void forgetOld(SteadyTime now);
 
 private:
     struct Suspect {
-        std::map<std::uint64_t, std::uint16_t> lives {}; // All that are known, with their zones; what is told again is no news.
-        std::map<std::uint64_t, SteadyTime> found {}; // Of these, by this node itself.
-        std::map<std::uint64_t, SteadyTime> counted {}; // Of these, when they were found or heard of: one of each moment where it is vouched for.
-        SteadyTime lastAt {};
-        bool isVouched { false }; // It had been answered well shortly before.
-
-        // Whether a good answer to what was sent then speaks against any of it.
-        bool clears(SteadyTime sentAt) const
+        std::map<std::uint64_t, std::uint16_t> incarnations {}; // All known ended incarnations with their zones; repeated reports are ignored.
+        std::map<std::uint64_t, SteadyTime> found {}; // The part of `incarnations` that this node found, with the time.
+        // The part of `incarnations` that counts, with the time of finding or receipt. For a known good request: one per moment.
+        std::map<std::uint64_t, SteadyTime> countedEnds {};
+        SteadyTime lastEndAt {};
+        bool isKnownGood { false }; // The request was answered well shortly before.
+
+        // Returns true if any counted end occurred before `sentAt`, so that a good answer to a copy sent then counts against it.
+        bool hasEndsBefore(SteadyTime sentAt) const
         {
-            return std::any_of(counted.begin(), counted.end(), [&](const auto& it) { return it.second <= sentAt; });
+            return std::any_of(countedEnds.begin(), countedEnds.end(), [&](const auto& it) { return it.second <= sentAt; });
         }
     };
 
     struct Blocked {
         std::uint16_t round { 0 };
         SteadyTime since {};
-        bool hasTurned { false };
+        bool wasKnownGood { false };
     };
 
-    // A word for a request that this node tells: that it was answered well since it was suspected, or shortly before.
-    struct Word {
+    // Report that a request was answered well, either after it was suspected (cleared) or shortly before (known good).
+    struct GoodReport {
         SteadyTime at {};
-        SteadyTime sentAt {}; // When what was answered had been sent.
-        bool foundHere { false }; // Only who found it tells it, or it would be told for ever.
-        bool isWhole { true }; // Nothing is held against the request any more.
+        SteadyTime sentAt {}; // Time at which the answered copy was sent.
+        bool foundHere { false }; // Only the node that found it publishes it; otherwise nodes would repeat it to each other forever.
+        bool isFullyCleared { true }; // No counted ends of the request are left.
     };
 
-    struct Presence {
+    struct SentRequest {
         RequestDigest request {};
         std::uint16_t zone { 0 };
-        std::optional<SteadyTime> leftAt {}; // Empty while it runs.
+        std::optional<SteadyTime> abandonedAt {}; // Time at which the copy was abandoned; no value while it runs.
     };
 
     struct GoodAnswer {
         RequestDigest request {};
-        SteadyTime at {}; // When what was answered had been sent.
-        bool seenHere { false }; // Only then does this node vouch for it to others: what is told on would speak for a request for ever.
+        SteadyTime at {}; // Time at which the answered copy was sent.
+        // Only then does this node publish the request as known good; otherwise forwarded reports would renew each other forever.
+        bool seenHere { false };
     };
 
-    SuspectNews gather(bool withHeard, SteadyTime now);
+    SuspectNews collectUpdate(bool includePeerFindings, SteadyTime now);
     void suspect(const EndReport&, bool foundHere, SteadyTime now);
-    // By what was heard and seen of its good answers up to now.
-    void weigh(const RequestDigest&, Suspect&, SteadyTime now) const;
-    bool isMomentOfItsOwn(const Suspect&, std::uint64_t life, SteadyTime at) const;
-    bool isEnough(const Suspect&) const;
-    // What was given up at that life within this time.
-    void suspectGivenUp(std::uint64_t life, Milliseconds within, SteadyTime now);
+    // Updates `isKnownGood` from the good answers known now. If it becomes true, the counted ends are reduced to one per moment.
+    void updateKnownGood(const RequestDigest&, Suspect&, SteadyTime now) const;
+    bool isSeparateMoment(const Suspect&, std::uint64_t life, SteadyTime at) const;
+    bool mustBlock(const Suspect&) const;
+    // Suspects the copies that were abandoned at that incarnation within this time.
+    void suspectAbandoned(std::uint64_t life, Milliseconds within, SteadyTime now);
     void block(const RequestDigest&, Suspect&, SteadyTime now);
-    void takeBlocked(const BlockedRequest&, SteadyTime now);
-    // By a good answer to what was sent at `sentAt`.
+    void onPeerBlocked(const BlockedRequest&, SteadyTime now);
+    // Processes a good answer to a copy sent at `sentAt`.
     void clear(const RequestDigest&, SteadyTime sentAt, bool foundHere, SteadyTime now);
-    void forgive(Suspect&, SteadyTime sentAt) const;
-    // False where something is still held against it.
-    bool clearUpTo(const RequestDigest&, SteadyTime sentAt, bool foundHere, SteadyTime now);
-    void hearCleared(const ClearedRequest&, SteadyTime now);
+    void removeEndsBefore(Suspect&, SteadyTime sentAt) const;
+    // Removes ends counted before `sentAt`. Returns false if any counted ends of a known good request are left; otherwise lifts the
+    // block.
+    bool clearEndsBefore(const RequestDigest&, SteadyTime sentAt, bool foundHere, SteadyTime now);
+    void onPeerCleared(const ClearedRequest&, SteadyTime now);
     bool isCleared(const RequestDigest&) const;
-    // It was answered well shortly before: what was blocked for three lives alone is blocked no more.
-    void vouch(const RequestDigest&, bool foundHere, SteadyTime now);
+    // Marks a request as answered well shortly before, and lifts a block that was based only on three ended incarnations.
+    void markKnownGood(const RequestDigest&, bool foundHere, SteadyTime now);
     void unblock(const RequestDigest&, bool foundHere);
-    // Told by another one; as good as an answer seen here.
-    void keepGoodAnswer(const RequestDigest&, SteadyTime sentAt, SteadyTime now);
+    // Stores a good answer that another node reported; it has the same effect as one seen here.
+    void rememberGoodAnswer(const RequestDigest&, SteadyTime sentAt, SteadyTime now);
     bool wasAnsweredWell(const RequestDigest&, SteadyTime now) const;
     bool sawAnsweredWell(const RequestDigest&, SteadyTime now) const;
     bool runs(const RequestDigest&) const;
-    // Returns what an end there is told as.
-    EndReport leave(const RequestDigest&, std::uint64_t life);
+    // Returns the report to use if the removed copy's endpoint ended.
+    EndReport removeRunning(const RequestDigest&, std::uint64_t life);
     SteadyTime firstTrialAt(const Blocked&) const;
-    SteadyTime forgottenAt(const Blocked&) const;
-    Milliseconds blockedTime(const Blocked&) const;
+    SteadyTime expiresAt(const Blocked&) const;
+    Milliseconds blockDuration(const Blocked&) const;
     bool isOnTrial(const RequestDigest&, const Blocked&, SteadyTime now) const;
     SteadyTime trialAt(const RequestDigest&, const Blocked&) const;
     std::size_t slotOf(const RequestDigest&) const;
-    void makeRoom();
+    void evictOldest();
 
     SuspectOptions m_options;
     std::map<RequestDigest, Suspect> m_suspects {};
     std::map<RequestDigest, Blocked> m_blocked {};
-    std::map<RequestDigest, Word> m_cleared {};
-    std::map<RequestDigest, Word> m_vouched {};
-    std::map<RequestDigest, unsigned> m_running {}; // At this node.
-    std::unordered_map<std::uint64_t, std::vector<Presence>> m_present {}; // By life.
-    std::unordered_map<std::uint64_t, SteadyTime> m_goneLives {};
-    std::vector<GoodAnswer> m_goodAnswers; // By hash; a newer one replaces an older one.
+    std::map<RequestDigest, GoodReport> m_cleared {};
+    std::map<RequestDigest, GoodReport> m_knownGood {};
+    std::map<RequestDigest, unsigned> m_running {}; // Number of running copies at this node.
+    std::unordered_map<std::uint64_t, std::vector<SentRequest>> m_sentRequests {}; // Keyed by the hash of the endpoint's incarnation.
+    std::unordered_map<std::uint64_t, SteadyTime> m_removedIncarnations {};
+    std::vector<GoodAnswer> m_goodAnswers; // Hash table with one entry per slot; a newer entry replaces an older one.
     std::vector<BlockedRequest> m_newlyBlocked {};
     std::vector<RequestDigest> m_newlyCleared {};
     bool m_hasNews { false };
--- a/modules/suspects/suspect_news.cpp
+++ b/modules/suspects/suspect_news.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // The last round counts; within one, who has known it for longest is right.
-    bool isBetter(const BlockedRequest& left, const BlockedRequest& right)
+    // The higher round wins; within a round, the node that has known the block for longest has the right age.
+    bool supersedes(const BlockedRequest& left, const BlockedRequest& right)
     {
         return std::pair(left.round, left.ageSeconds) > std::pair(right.round, right.ageSeconds);
     }
@@ -17,13 +17,13 @@
     void append(std::vector<Value>& values, const std::vector<Value>& more) { values.insert(values.end(), more.begin(), more.end()); }
 
     template <typename Value>
-    void keepDifferent(std::vector<Value>& values)
+    void sortUnique(std::vector<Value>& values)
     {
         std::sort(values.begin(), values.end());
         values.erase(std::unique(values.begin(), values.end()), values.end());
     }
 
-    // Of each request the good answer to what was sent last; they are in order.
+    // Keeps for each request the entry whose answered copy was sent last. `cleared` is sorted by request and then by age.
     void keepLatest(std::vector<ClearedRequest>& cleared)
     {
         auto same = [](const auto& left, const auto& right) { return left.request == right.request; };
@@ -33,7 +33,7 @@
     void keepBest(std::vector<BlockedRequest>& blocked)
     {
         std::sort(blocked.begin(), blocked.end(), [](const auto& left, const auto& right) {
-            return left.request < right.request || (left.request == right.request && isBetter(left, right));
+            return left.request < right.request || (left.request == right.request && supersedes(left, right));
         });
         blocked.erase(std::unique(blocked.begin(), blocked.end(), [](const auto& left, const auto& right) { return left.request == right.request; }), blocked.end());
     }
@@ -45,21 +45,21 @@
     append(sum.reports, other.reports);
     append(sum.blocked, other.blocked);
     append(sum.cleared, other.cleared);
-    append(sum.vouched, other.vouched);
+    append(sum.knownGood, other.knownGood);
 }
 
 void limitNews(SuspectNews& news, const SuspectNewsLimits& limits)
 {
-    keepDifferent(news.reports);
+    sortUnique(news.reports);
     keepBest(news.blocked);
-    keepDifferent(news.cleared);
+    sortUnique(news.cleared);
     keepLatest(news.cleared);
-    keepDifferent(news.vouched);
+    sortUnique(news.knownGood);
     if (news.reports.size() > limits.reports) {
-        std::map<RequestDigest, unsigned> lives;
+        std::map<RequestDigest, unsigned> incarnations;
         for (const auto& it : news.reports)
-            ++lives[it.request];
-        std::stable_sort(news.reports.begin(), news.reports.end(), [&](const auto& left, const auto& right) { return lives[left.request] > lives[right.request]; });
+            ++incarnations[it.request];
+        std::stable_sort(news.reports.begin(), news.reports.end(), [&](const auto& left, const auto& right) { return incarnations[left.request] > incarnations[right.request]; });
         news.reports.resize(limits.reports);
     }
     if (news.blocked.size() > limits.blocked) {
@@ -68,8 +68,8 @@
     }
     if (news.cleared.size() > limits.cleared)
         news.cleared.resize(limits.cleared);
-    if (news.vouched.size() > limits.vouched)
-        news.vouched.resize(limits.vouched);
+    if (news.knownGood.size() > limits.knownGood)
+        news.knownGood.resize(limits.knownGood);
 }
 
 } // namespace Onyxnotch
--- a/modules/suspects/suspect_news.h
+++ b/modules/suspects/suspect_news.h
@@ -1,4 +1,4 @@
-// What nodes tell each other about requests under which endpoints end.
+// Message between nodes about requests that are suspected of crashing endpoints, and functions to merge and limit such messages.
 #pragma once
 
 #include "modules/suspects/request_digest.h"
@@ -7,18 +7,18 @@
 
 namespace Onyxnotch {
 
-// An availability zone as nodes name it to each other beside requests. Never 0, which stands for one that is not known.
+// Compact id of an availability zone in messages about requests. Never 0, which stands for an unknown zone.
 inline std::uint16_t zoneHash(std::string_view zone)
 {
     constexpr std::uint64_t values = 0xffff;
     return static_cast<std::uint16_t>(1 + fastHash(zone) % values);
 }
 
-// A request was running at an endpoint when that life of the endpoint ended unannounced.
+// Reports that a request was running at an endpoint when that incarnation of the endpoint ended unannounced.
 struct EndReport {
     RequestDigest request {};
-    std::uint64_t life { 0 }; // Hash of the endpoint's life.
-    std::uint16_t zone { 0 }; // Hash of its availability zone; 0 where it is not known.
+    std::uint64_t life { 0 }; // Hash of the endpoint's incarnation.
+    std::uint16_t zone { 0 }; // Hash of the endpoint's availability zone; 0 if unknown.
 
     auto operator<=>(const EndReport&) const = default;
 
@@ -29,20 +29,22 @@
 // A request that no node sends to an endpoint.
 struct BlockedRequest {
     RequestDigest request {};
-    std::uint16_t round { 0 }; // How often it was blocked: grows when a trial ends one more endpoint.
-    std::uint32_t ageSeconds { 0 }; // Since it was blocked in this round.
-    bool hasTurned { false }; // It was answered well until it began to end endpoints: what was sent before then does not speak for it.
+    // Incremented each time the request is blocked again because a trial ended one more endpoint; 0 for the first block.
+    std::uint16_t round { 0 };
+    std::uint32_t ageSeconds { 0 }; // Time since the request was blocked in this round.
+    // The request was answered well before it began to end endpoints: answers to copies sent before then don't lift the block.
+    bool wasKnownGood { false };
 
     bool operator==(const BlockedRequest&) const = default;
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(request, round, ageSeconds, hasTurned); }
+    void serialize(Archive& archive) { archive(request, round, ageSeconds, wasKnownGood); }
 };
 
-// A request that an endpoint has run to a good end.
+// A request that an endpoint answered well after it was suspected.
 struct ClearedRequest {
     RequestDigest request {};
-    std::uint32_t sentAgoMilliseconds { 0 }; // Since what was answered was sent: what ended afterwards is not cleared by it.
+    std::uint32_t sentAgoMilliseconds { 0 }; // Time since the answered copy was sent: endpoint ends after that time aren't cleared.
 
     auto operator<=>(const ClearedRequest&) const = default;
 
@@ -50,32 +52,33 @@
     void serialize(Archive& archive) { archive(request, sentAgoMilliseconds); }
 };
 
-// All of it, as a node or a group of nodes tells it. Empty while endpoints live.
+// Everything that a node or a group of nodes reports about suspected requests. Empty while no endpoints end unannounced.
 struct SuspectNews {
-    std::vector<EndReport> reports {}; // Of the last seconds.
+    std::vector<EndReport> reports {}; // Endpoint ends of the last seconds.
     std::vector<BlockedRequest> blocked {};
-    std::vector<ClearedRequest> cleared {}; // Suspected lately, though an endpoint has run them to a good end since.
-    std::vector<RequestDigest> vouched {}; // Suspected now, though an endpoint has run them to a good end shortly before.
+    std::vector<ClearedRequest> cleared {}; // Recently suspected requests that an endpoint has answered well since.
+    std::vector<RequestDigest> knownGood {}; // Known good requests: suspected now, but an endpoint answered them well shortly before.
 
     bool operator==(const SuspectNews&) const = default;
-    bool empty() const { return reports.empty() && blocked.empty() && cleared.empty() && vouched.empty(); }
+    bool empty() const { return reports.empty() && blocked.empty() && cleared.empty() && knownGood.empty(); }
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(reports, blocked, cleared, vouched); }
+    void serialize(Archive& archive) { archive(reports, blocked, cleared, knownGood); }
 };
 
-// How much of it one message tells. A message of a group holds no more than one of a node, whatever the fleet.
+// Maximum entries of one message. They are the same for the message of a group as for that of one node, whatever the size of the fleet.
 struct SuspectNewsLimits {
-    // 22 bytes each. While a zone is lost more are made than fit; those that name a request with several lives go first.
+    // 22 bytes each. The loss of a zone causes more reports than fit; reports of requests with the most ended incarnations are kept.
     std::size_t reports { 64 };
-    std::size_t blocked { 64 }; // 19 bytes each, the newest first. The others are in the store, and with those who heard of them.
+    // 19 bytes each; the newest are kept. The others are in the store, and known to the nodes that already received them.
+    std::size_t blocked { 64 };
     std::size_t cleared { 32 }; // 16 bytes each.
-    std::size_t vouched { 32 }; // 12 bytes each.
+    std::size_t knownGood { 32 }; // 12 bytes each.
 };
 
-// Adds what another one says. What stands there twice goes with limitNews().
+// Appends the entries of `other` to `sum`. Duplicates remain until limitNews() is called.
 void addNews(SuspectNews& sum, const SuspectNews& other);
-// Leaves each thing once, and as much as a message may hold: what matters most.
+// Removes duplicates, and entries beyond the limits. The most important entries are kept.
 void limitNews(SuspectNews&, const SuspectNewsLimits& limits = {});
 
 } // namespace Onyxnotch
--- a/tests/modules/suspects/suspect_simulation.h
+++ b/tests/modules/suspects/suspect_simulation.h
@@ -1,5 +1,6 @@
-// Many nodes' books before endpoints that end, in simulated time: under one request that ends each endpoint that runs it, of their own
-// accord, or a whole zone at once. Only what nodes know of requests is simulated; endpoints are chosen at random.
+// Simulates the SuspectBooks of many nodes in simulated time, while endpoints end: because of one request that ends each endpoint that
+// runs it (the guilty request), for other reasons, or as a complete zone. Only what nodes know about requests is simulated; endpoints are
+// selected at random.
 #pragma once
 
 #include "modules/suspects/suspect_book.h"
@@ -17,21 +18,22 @@
     unsigned zones { 4 };
     Milliseconds duration { 30000 };
     double requestsPerSecond { 40 }; // Over all nodes.
-    double popularPart { 0.1 }; // Of them, that are one and the same.
-    bool guiltyTurns { false }; // It was the popular one, and answered well, until endpoints begin to end.
-    bool repeatsRunWell { false }; // So do its copies from before then that are sent once more.
-    double guiltyPerSecond { 0 }; // Of the request that ends its endpoint.
-    int guiltyEndsFrom { 50 }; // Milliseconds after it began to run,
-    int guiltyEndsTo { 150 };
-    double endsPerSecond { 0 }; // Endpoints that end of their own accord.
-    Milliseconds endsFrom { 6000 }; // From when on endpoints end: by then requests have been answered.
-    Milliseconds zoneEndsAt { 0 }; // When all endpoints of a zone end at once; 0 for never.
-    Milliseconds zoneEndsOver { 0 }; // Each of them at some moment within so long.
-    Milliseconds rowEvery { 250 };
-    Milliseconds newsDelay { 5 }; // From node to node.
-    Milliseconds relayDelay { 0 }; // Beyond that, where relays tell it on.
-    double lossPart { 0.02 }; // Of the messages.
-    bool hasNotices { true }; // What is found is told at once as well.
+    double popularShare { 0.1 }; // Share of the requests that are copies of one popular request.
+    // The popular request is the guilty one: it is answered well until `endsFrom`, and ends endpoints from then on.
+    bool popularTurnsGuilty { false };
+    bool repeatsRunWell { false }; // Copies from before the turn are also answered well if they are retried after it.
+    double guiltyPerSecond { 0 }; // Additional copies of the guilty request per second, from `endsFrom` on.
+    int guiltyEndsFrom { 50 }; // The guilty request ends its endpoint at least this many milliseconds after it was sent,
+    int guiltyEndsTo { 150 }; // and at most this many.
+    double endsPerSecond { 0 }; // Endpoints per second that end for other reasons.
+    Milliseconds endsFrom { 6000 }; // Endpoints end only after this time, by which requests have been answered.
+    Milliseconds zoneEndsAt { 0 }; // Time at which all endpoints of a zone end; 0 for never.
+    Milliseconds zoneEndDuration { 0 }; // The endpoints of the zone end at random times within this duration.
+    Milliseconds reportPeriod { 250 };
+    Milliseconds messageDelay { 5 }; // Delay of a message between two nodes.
+    Milliseconds relayDelay { 0 }; // Additional delay of periodic reports that relay nodes forward.
+    double lossShare { 0.02 }; // Share of messages that are lost.
+    bool sendsNotices { true }; // Findings are also sent immediately, in addition to the periodic reports.
     SuspectOptions book {};
 };
 
@@ -45,14 +47,14 @@
             auto book = options.book;
             book.node = "n" + std::to_string(n);
             m_books.push_back(std::make_unique<SuspectBook>(book));
-            after(Milliseconds(m_random() % 250), [this, n] { tellRow(n); });
+            after(Milliseconds(m_random() % 250), [this, n] { sendPeriodicReport(n); });
         }
         for (unsigned n = 0; n < options.endpoints; ++n)
             m_endpoints.push_back({ .life = ++m_lives });
-        schedule(options.requestsPerSecond, [this] { ask(); });
+        schedule(options.requestsPerSecond, [this] { generateRequest(); });
         after(options.endsFrom, [this] {
-            m_turned = m_options.guiltyTurns;
-            schedule(m_options.guiltyPerSecond, [this] { arrive({ .digest = guilty, .guilty = true }); });
+            m_hasTurnedGuilty = m_options.popularTurnsGuilty;
+            schedule(m_options.guiltyPerSecond, [this] { receiveRequest({ .digest = guilty, .guilty = true }); });
             schedule(m_options.endsPerSecond, [this] { end(static_cast<unsigned>(m_random() % m_options.endpoints), false); });
         });
         if (options.zoneEndsAt.count() > 0)
@@ -66,27 +68,27 @@
     }
 
     unsigned endedByGuilty { 0 };
-    unsigned guiltySentLate { 0 }; // Later than three seconds after it had ended the third endpoint.
-    unsigned popularAsked { 0 };
+    unsigned guiltySentLate { 0 }; // Guilty requests sent later than three seconds after the third endpoint ended under the guilty request.
+    unsigned popularReceived { 0 };
     unsigned popularRefused { 0 };
     unsigned popularBlocked { 0 };
-    unsigned uniqueAsked { 0 };
+    unsigned uniqueReceived { 0 };
     unsigned uniqueRefused { 0 };
-    unsigned uniqueBlocked { 0 }; // Of those, not only held back while another one runs.
-    SteadyTime knownEverywhereAt {}; // When all books had the guilty one blocked,
-    SteadyTime thirdEndedAt {}; // and when it had ended the third endpoint.
+    unsigned uniqueBlocked { 0 }; // Refused because of a block, rather than because another copy was running.
+    SteadyTime blockedEverywhereAt {}; // Time from which all books had the guilty request blocked.
+    SteadyTime thirdEndedAt {}; // Time at which the third endpoint ended under the guilty request.
 
 private:
     static constexpr SteadyTime begin { std::chrono::hours(1) };
     static constexpr RequestDigest guilty { .team = 1, .content = 1 };
     static constexpr RequestDigest popular { .team = 2, .content = 2 };
-    static constexpr Milliseconds newsBound { 3000 };
+    static constexpr Milliseconds maxReportTime { 3000 };
 
     struct Request {
         RequestDigest digest {};
         bool guilty { false };
-        unsigned tries { 0 }; // At endpoints, within one try of the caller.
-        unsigned callersTries { 1 };
+        unsigned endpointAttempts { 0 }; // Number of endpoints within one attempt of the client.
+        unsigned clientAttempts { 1 };
     };
 
     struct Running {
@@ -98,7 +100,7 @@
 
     struct Endpoint {
         std::uint64_t life { 0 };
-        bool up { true };
+        bool isUp { true };
         std::vector<Running> running {};
     };
 
@@ -112,7 +114,7 @@
     void after(Milliseconds delay, std::function<void()> work) { m_events.push({ .at = m_now + delay, .order = ++m_order, .work = std::move(work) }); }
 
     Milliseconds uniform(int from, int to) { return Milliseconds(std::uniform_int_distribution<int>(from, to)(m_random)); }
-    bool chance(double part) { return std::uniform_real_distribution<double>(0, 1)(m_random) < part; }
+    bool isChosen(double part) { return std::uniform_real_distribution<double>(0, 1)(m_random) < part; }
 
     void schedule(double perSecond, const std::function<void()>& work)
     {
@@ -125,20 +127,20 @@
         });
     }
 
-    void ask()
+    void generateRequest()
     {
-        if (chance(m_options.popularPart))
-            arrive({ .digest = m_options.guiltyTurns ? guilty : popular, .guilty = m_turned });
+        if (isChosen(m_options.popularShare))
+            receiveRequest({ .digest = m_options.popularTurnsGuilty ? guilty : popular, .guilty = m_hasTurnedGuilty });
         else
-            arrive({ .digest = { .team = 3, .content = ++m_unique + 1000 } });
+            receiveRequest({ .digest = { .team = 3, .content = ++m_unique + 1000 } });
     }
 
-    void arrive(const Request& request)
+    void receiveRequest(const Request& request)
     {
         auto node = static_cast<unsigned>(m_random() % m_options.nodes);
         bool isPopular = request.digest == popular || (request.digest == guilty && !request.guilty);
         if (!request.guilty)
-            ++(isPopular ? popularAsked : uniqueAsked);
+            ++(isPopular ? popularReceived : uniqueReceived);
         if (m_books[node]->maySend(request.digest, m_now)) {
             send(node, request);
             return;
@@ -154,17 +156,17 @@
     {
         std::vector<unsigned> up;
         for (unsigned n = 0; n < m_options.endpoints; ++n) {
-            if (m_endpoints[n].up)
+            if (m_endpoints[n].isUp)
                 up.push_back(n);
         }
         if (up.empty())
             return;
         auto n = up[m_random() % up.size()];
         auto& endpoint = m_endpoints[n];
-        ++request.tries;
-        if (m_turned && request.digest == guilty && !m_options.repeatsRunWell)
+        ++request.endpointAttempts;
+        if (m_hasTurnedGuilty && request.digest == guilty && !m_options.repeatsRunWell)
             request.guilty = true;
-        if (request.guilty && thirdEndedAt != SteadyTime {} && m_now - thirdEndedAt > newsBound)
+        if (request.guilty && thirdEndedAt != SteadyTime {} && m_now - thirdEndedAt > maxReportTime)
             ++guiltySentLate;
         m_books[node]->onSent(request.digest, endpoint.life, static_cast<std::uint16_t>(1 + n % m_options.zones));
         Running running { .request = request, .node = node, .number = ++m_numbers, .sentAt = m_now };
@@ -184,77 +186,77 @@
             return;
         all.erase(it);
         m_books[running.node]->onAnswered(running.request.digest, m_endpoints[n].life, running.sentAt, m_now);
-        tellSoon(running.node);
+        scheduleNotice(running.node);
     }
 
     void endLife(unsigned n, std::uint64_t life)
     {
-        if (m_endpoints[n].up && m_endpoints[n].life == life)
+        if (m_endpoints[n].isUp && m_endpoints[n].life == life)
             end(n, true);
     }
 
     void end(unsigned n, bool byGuilty)
     {
         auto& endpoint = m_endpoints[n];
-        if (!endpoint.up)
+        if (!endpoint.isUp)
             return;
-        endpoint.up = false;
+        endpoint.isUp = false;
         if (byGuilty && ++endedByGuilty == 3)
             thirdEndedAt = m_now;
         auto broken = std::exchange(endpoint.running, {});
         for (const auto& it : broken)
             m_books[it.node]->onLost(it.request.digest, endpoint.life, m_now);
         for (const auto& it : broken)
-            goOn(it);
+            retryBroken(it);
         after(uniform(2000, 5000), [this, n] { m_endpoints[n] = { .life = ++m_lives }; });
     }
 
-    // A second endpoint at once, then the caller itself once more.
-    void goOn(const Running& broken)
+    // Retries a broken request: immediately at a second endpoint if allowed, otherwise as a new attempt of the client.
+    void retryBroken(const Running& broken)
     {
         auto request = broken.request;
-        tellSoon(broken.node);
-        if (request.tries < 2 && m_books[broken.node]->maySendAgain(request.digest, m_now)) {
+        scheduleNotice(broken.node);
+        if (request.endpointAttempts < 2 && m_books[broken.node]->maySendAgain(request.digest, m_now)) {
             send(broken.node, request);
             return;
         }
-        if (request.callersTries >= 2 || request.guilty)
+        if (request.clientAttempts >= 2 || request.guilty)
             return;
-        request.tries = 0;
-        ++request.callersTries;
-        after(uniform(20, 300), [this, request] { arrive(request); });
+        request.endpointAttempts = 0;
+        ++request.clientAttempts;
+        after(uniform(20, 300), [this, request] { receiveRequest(request); });
     }
 
     void endZone()
     {
         for (unsigned n = 0; n < m_options.endpoints; n += m_options.zones)
-            after(uniform(0, static_cast<int>(m_options.zoneEndsOver.count())), [this, n] { end(n, false); });
+            after(uniform(0, static_cast<int>(m_options.zoneEndDuration.count())), [this, n] { end(n, false); });
     }
 
-    void tellSoon(unsigned node)
+    void scheduleNotice(unsigned node)
     {
-        if (m_books[node]->takeHasNews() && m_options.hasNotices)
-            after(Milliseconds(20), [this, node] { tell(node, m_options.newsDelay); });
+        if (m_books[node]->takeHasNews() && m_options.sendsNotices)
+            after(Milliseconds(20), [this, node] { sendReport(node, m_options.messageDelay); });
     }
 
-    void tellRow(unsigned node)
+    void sendPeriodicReport(unsigned node)
     {
-        tell(node, m_options.newsDelay + m_options.relayDelay);
-        bool known = thirdEndedAt != SteadyTime {} && knownEverywhereAt == SteadyTime {};
+        sendReport(node, m_options.messageDelay + m_options.relayDelay);
+        bool known = thirdEndedAt != SteadyTime {} && blockedEverywhereAt == SteadyTime {};
         for (const auto& it : m_books)
             known = known && it->verdict(guilty, m_now) == SuspectVerdict::Blocked;
         if (known)
-            knownEverywhereAt = m_now;
-        after(m_options.rowEvery, [this, node] { tellRow(node); });
+            blockedEverywhereAt = m_now;
+        after(m_options.reportPeriod, [this, node] { sendPeriodicReport(node); });
     }
 
-    void tell(unsigned from, Milliseconds delay)
+    void sendReport(unsigned from, Milliseconds delay)
     {
         auto news = std::make_shared<const SuspectNews>(m_books[from]->news(m_now));
         if (news->empty())
             return;
         for (unsigned to = 0; to < m_options.nodes; ++to) {
-            if (to == from || chance(m_options.lossPart))
+            if (to == from || isChosen(m_options.lossShare))
                 continue;
             after(delay, [this, to, news] { m_books[to]->onNews(*news, m_now); });
         }
@@ -262,7 +264,7 @@
 
     SuspectSimulationOptions m_options;
     std::mt19937_64 m_random;
-    bool m_turned { false };
+    bool m_hasTurnedGuilty { false };
     SteadyTime m_now { begin };
     std::priority_queue<Event> m_events {};
     std::uint64_t m_order { 0 };
--- a/tests/modules/suspects/test_suspect_book.cpp
+++ b/tests/modules/suspects/test_suspect_book.cpp
@@ -1,4 +1,5 @@
-// Requests that end endpoints: who is blocked and who is not, by simulation of many nodes and by single steps.
+// Tests which requests are blocked after endpoints end, by simulations of many nodes and by single steps. The simulations repeat with the
+// number of seeds in the environment variable ONYXNOTCH_SEEDS, or else a default for each test.
 #include "tests/modules/suspects/suspect_simulation.h"
 #include <boost/test/unit_test.hpp>
 #include <iostream>
@@ -12,14 +13,14 @@
 constexpr RequestDigest request { .team = 7, .content = 70 };
 constexpr RequestDigest other { .team = 7, .content = 71 };
 
-// A life ends while the request runs there.
+// Ends an endpoint incarnation while the request runs there.
 void endLife(SuspectBook& book, std::uint64_t life, SteadyTime now, const RequestDigest& digest = request)
 {
     book.onSent(digest, life);
     book.onLost(digest, life, now);
 }
 
-void blockIt(SuspectBook& book, SteadyTime now, const RequestDigest& digest = request)
+void blockRequest(SuspectBook& book, SteadyTime now, const RequestDigest& digest = request)
 {
     for (std::uint64_t life = 1; life <= 3; ++life)
         endLife(book, life + digest.content * 100, now, digest);
@@ -30,14 +31,14 @@
     unsigned endedByGuilty { 0 };
     unsigned mostEnded { 0 };
     unsigned mostSentLate { 0 };
-    unsigned popularAsked { 0 };
+    unsigned popularReceived { 0 };
     unsigned popularRefused { 0 };
     unsigned popularBlocked { 0 };
-    unsigned uniqueAsked { 0 };
+    unsigned uniqueReceived { 0 };
     unsigned uniqueRefused { 0 };
     unsigned uniqueBlocked { 0 };
-    Milliseconds longestUntilKnown { 0 };
-    unsigned neverKnown { 0 };
+    Milliseconds longestUntilBlocked { 0 };
+    unsigned neverBlocked { 0 };
 };
 
 Totals simulate(SuspectSimulationOptions options, unsigned seeds)
@@ -50,36 +51,36 @@
         totals.endedByGuilty += one.endedByGuilty;
         totals.mostEnded = std::max(totals.mostEnded, one.endedByGuilty);
         totals.mostSentLate = std::max(totals.mostSentLate, one.guiltySentLate);
-        totals.popularAsked += one.popularAsked;
+        totals.popularReceived += one.popularReceived;
         totals.popularRefused += one.popularRefused;
         totals.popularBlocked += one.popularBlocked;
-        totals.uniqueAsked += one.uniqueAsked;
+        totals.uniqueReceived += one.uniqueReceived;
         totals.uniqueRefused += one.uniqueRefused;
         totals.uniqueBlocked += one.uniqueBlocked;
         if (one.thirdEndedAt != SteadyTime {}) {
-            if (one.knownEverywhereAt == SteadyTime {})
-                ++totals.neverKnown;
+            if (one.blockedEverywhereAt == SteadyTime {})
+                ++totals.neverBlocked;
             else
-                totals.longestUntilKnown = std::max(totals.longestUntilKnown, toMilliseconds(one.knownEverywhereAt - one.thirdEndedAt));
+                totals.longestUntilBlocked = std::max(totals.longestUntilBlocked, toMilliseconds(one.blockedEverywhereAt - one.thirdEndedAt));
         }
     }
     std::cout << "runs " << totals.runs << ", ended by the guilty " << totals.endedByGuilty << " (at most " << totals.mostEnded << "), sent late at most " << totals.mostSentLate
-              << ", popular refused " << totals.popularRefused << " of " << totals.popularAsked << ", unique refused " << totals.uniqueRefused << " (blocked " << totals.uniqueBlocked << ") of "
-              << totals.uniqueAsked << ", known everywhere after " << totals.longestUntilKnown.count() << " ms at the latest, never " << totals.neverKnown << std::endl;
+              << ", popular refused " << totals.popularRefused << " of " << totals.popularReceived << ", unique refused " << totals.uniqueRefused << " (blocked " << totals.uniqueBlocked << ") of "
+              << totals.uniqueReceived << ", known everywhere after " << totals.longestUntilBlocked.count() << " ms at the latest, never " << totals.neverBlocked << std::endl;
     return totals;
 }
 
-unsigned seedsOr(unsigned usual)
+unsigned seedCountOr(unsigned defaultCount)
 {
     const char* text = std::getenv("ONYXNOTCH_SEEDS");
-    return text ? static_cast<unsigned>(std::stoul(text)) : usual;
+    return text ? static_cast<unsigned>(std::stoul(text)) : defaultCount;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(Suspects)
 
-BOOST_AUTO_TEST_CASE(three_lives_block_and_two_do_not)
+BOOST_AUTO_TEST_CASE(three_ended_incarnations_block_and_two_do_not)
 {
     SuspectBook book;
     endLife(book, 1, start);
@@ -87,8 +88,8 @@
     BOOST_TEST(book.maySendAgain(request, start));
     endLife(book, 2, start);
     BOOST_TEST(book.maySend(request, start));
-    BOOST_TEST(!book.maySendAgain(request, start)); // No second endpoint within one try of its caller.
-    endLife(book, 2, start); // The same life does not count twice.
+    BOOST_TEST(!book.maySendAgain(request, start)); // No second endpoint within one attempt of its client.
+    endLife(book, 2, start); // The same incarnation does not count twice.
     BOOST_TEST(book.maySend(request, start));
     endLife(book, 3, start);
     BOOST_TEST(!book.maySend(request, start));
@@ -97,7 +98,7 @@
     BOOST_TEST(book.takeNewlyBlocked().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_suspect_runs_once_at_a_time)
+BOOST_AUTO_TEST_CASE(suspected_request_runs_one_copy_at_a_time)
 {
     SuspectBook book;
     endLife(book, 1, start);
@@ -108,8 +109,8 @@
     BOOST_TEST(book.maySend(request, start));
 }
 
-// An end that is told twice must not free a place that another run holds.
-BOOST_AUTO_TEST_CASE(an_end_told_twice_counts_once)
+// Guards against a repeated report of an end that removes the entry of another running copy.
+BOOST_AUTO_TEST_CASE(repeated_end_counts_once)
 {
     SuspectBook book;
     endLife(book, 1, start);
@@ -122,12 +123,12 @@
     BOOST_TEST(book.maySend(request, start));
 }
 
-BOOST_AUTO_TEST_CASE(a_good_answer_clears_and_speaks_for_a_while)
+BOOST_AUTO_TEST_CASE(good_answer_clears_and_protects_for_its_validity)
 {
     SuspectBook book;
-    blockIt(book, start);
+    blockRequest(book, start);
     BOOST_TEST(!book.maySend(request, start));
-    // What was sent before the last end says nothing of it.
+    // An answer to a copy sent before the last end doesn't clear the request.
     book.onSent(request, 9);
     book.onAnswered(request, 9, start - Milliseconds(1), start);
     BOOST_TEST(!book.maySend(request, start));
@@ -135,13 +136,13 @@
     book.onAnswered(request, 9, start, start);
     BOOST_TEST(book.maySend(request, start));
     BOOST_TEST(book.takeNewlyCleared().size() == 1U);
-    blockIt(book, start + Milliseconds(1000));
+    blockRequest(book, start + Milliseconds(1000));
     BOOST_TEST(book.maySend(request, start + Milliseconds(1000)));
-    blockIt(book, start + SuspectOptions {}.goodAnswerCounts);
-    BOOST_TEST(!book.maySend(request, start + SuspectOptions {}.goodAnswerCounts));
+    blockRequest(book, start + SuspectOptions {}.goodAnswerValidity);
+    BOOST_TEST(!book.maySend(request, start + SuspectOptions {}.goodAnswerValidity));
 }
 
-BOOST_AUTO_TEST_CASE(reports_of_several_nodes_add_up_and_who_saw_it_answered_objects)
+BOOST_AUTO_TEST_CASE(reports_of_nodes_add_up_and_good_answer_overrides_them)
 {
     SuspectBook first;
     SuspectBook second;
@@ -157,29 +158,29 @@
     BOOST_TEST(third.maySend(request, start));
     second.onNews(third.news(start), start);
     BOOST_TEST(second.maySend(request, start));
-    // A node that has not heard of it tells the old news once more.
+    // A node that doesn't know that the request was cleared repeats its old reports.
     second.onNews(first.news(start), start);
     BOOST_TEST(second.maySend(request, start));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_given_up_where_the_endpoint_ends_next_is_suspected_too)
+BOOST_AUTO_TEST_CASE(abandoned_request_is_suspected_if_its_endpoint_ends_soon)
 {
     SuspectBook book;
     book.onSent(request, 1);
     book.onLeft(request, 1, start);
     endLife(book, 1, start + Milliseconds(1000), other);
     BOOST_TEST(book.endedLives(request) == 1U);
-    // Long after it, another one is to blame.
+    // After `abandonedBlamePeriod`, the abandoned request is no longer suspected.
     book.onSent(request, 2);
     book.onLeft(request, 2, start);
-    endLife(book, 2, start + SuspectOptions {}.blamedAfter + Milliseconds(1), other);
+    endLife(book, 2, start + SuspectOptions {}.abandonedBlamePeriod + Milliseconds(1), other);
     BOOST_TEST(book.endedLives(request) == 1U);
-    // An endpoint that falls silent is missed after some heartbeats.
+    // The removal of a silent endpoint is detected only after some heartbeats.
     book.onSent(request, 3);
     book.onLeft(request, 3, start);
     book.onLifeGone(3, start + Milliseconds(3600));
     BOOST_TEST(book.endedLives(request) == 2U);
-    // What runs where a life is gone may be answered all the same; given up there, it counts.
+    // A copy that runs at a removed incarnation may still be answered; it counts only if it is abandoned there.
     book.onSent(request, 4);
     book.onLifeGone(4, start + Milliseconds(3600));
     BOOST_TEST(book.endedLives(request) == 2U);
@@ -188,11 +189,11 @@
     BOOST_TEST(!book.maySend(request, start + Milliseconds(5000)));
 }
 
-BOOST_AUTO_TEST_CASE(nodes_try_it_again_one_after_the_other_and_a_trial_that_ends_an_endpoint_blocks_it_for_longer)
+BOOST_AUTO_TEST_CASE(nodes_try_one_after_the_other_and_failed_trial_extends_block)
 {
     SuspectBook first({ .node = "a" });
     SuspectBook second({ .node = "b" });
-    blockIt(first, start);
+    blockRequest(first, start);
     second.onNews(first.news(start), start);
     auto firstTrial = start + first.blockedLeft(request, start);
     auto secondTrial = start + second.blockedLeft(request, start);
@@ -205,18 +206,18 @@
     BOOST_TEST(second.blockedLeft(request, firstTrial).count() >= 2 * SuspectOptions {}.blockedFor.count());
 }
 
-BOOST_AUTO_TEST_CASE(a_team_with_many_such_requests_pushes_out_its_own)
+BOOST_AUTO_TEST_CASE(team_with_many_blocked_requests_evicts_its_own)
 {
     SuspectBook book({ .mostBlocked = 64 });
-    blockIt(book, start, other);
+    blockRequest(book, start, other);
     for (std::uint64_t n = 0; n < 500; ++n)
-        blockIt(book, start + Milliseconds(n), { .team = 9, .content = 1000 + n });
+        blockRequest(book, start + Milliseconds(n), { .team = 9, .content = 1000 + n });
     BOOST_TEST(book.blockedRequests() <= 64U);
     BOOST_TEST(!book.maySend(other, start));
     BOOST_TEST(!book.maySend({ .team = 9, .content = 1499 }, start + Milliseconds(500)));
 }
 
-BOOST_AUTO_TEST_CASE(a_message_tells_first_what_ended_several)
+BOOST_AUTO_TEST_CASE(message_reports_requests_with_several_ends_first)
 {
     SuspectNews news;
     for (std::uint64_t n = 0; n < 500; ++n)
@@ -228,87 +229,87 @@
     BOOST_TEST(news.reports.front().request.team == 2U);
 }
 
-// Nobody beside is blocked, and few endpoints are lost: three at least, and what was on its way while the news spread.
-BOOST_AUTO_TEST_CASE(a_guilty_request_ends_few_endpoints)
+// No other request is blocked, and few endpoints are lost: at least three, and those that end while reports are being sent.
+BOOST_AUTO_TEST_CASE(guilty_request_ends_few_endpoints)
 {
-    auto totals = simulate({ .guiltyPerSecond = 5 }, seedsOr(200));
+    auto totals = simulate({ .guiltyPerSecond = 5 }, seedCountOr(200));
     BOOST_TEST(totals.mostSentLate == 0U);
-    BOOST_TEST(totals.neverKnown == 0U);
-    BOOST_TEST(totals.longestUntilKnown.count() <= 1000);
+    BOOST_TEST(totals.neverBlocked == 0U);
+    BOOST_TEST(totals.longestUntilBlocked.count() <= 1000);
     BOOST_TEST(totals.endedByGuilty <= 5 * totals.runs);
     BOOST_TEST(totals.popularBlocked == 0U);
     BOOST_TEST(totals.popularRefused == 0U);
     BOOST_TEST(totals.uniqueBlocked == 0U);
 }
 
-// Where no node has seen any answer yet, a request that everybody sends may be taken for guilty until the first one of it is answered: of
-// 23,550 in 200 runs 17 were refused.
-BOOST_AUTO_TEST_CASE(a_guilty_request_right_after_the_start_of_all_nodes)
+// While no node has seen any answer, a popular request may be suspected until its first copy is answered: 17 of 23,550 were refused in
+// 200 runs.
+BOOST_AUTO_TEST_CASE(guilty_request_right_after_start_of_all_nodes)
 {
-    auto totals = simulate({ .guiltyPerSecond = 5, .endsFrom = Milliseconds(1) }, seedsOr(200));
+    auto totals = simulate({ .guiltyPerSecond = 5, .endsFrom = Milliseconds(1) }, seedCountOr(200));
     BOOST_TEST(totals.mostSentLate == 0U);
     BOOST_TEST(totals.endedByGuilty <= 5 * totals.runs);
-    BOOST_TEST(totals.popularRefused * 500 <= totals.popularAsked);
+    BOOST_TEST(totals.popularRefused * 500 <= totals.popularReceived);
     BOOST_TEST(totals.uniqueBlocked == 0U);
 }
 
-// As relays tell it in a fleet: up to 0.8 s later, without notices to everybody.
-BOOST_AUTO_TEST_CASE(a_guilty_request_in_a_large_fleet)
+// In a large fleet, relay nodes forward reports: they arrive up to 0.8 s later, and findings aren't sent immediately.
+BOOST_AUTO_TEST_CASE(guilty_request_in_large_fleet)
 {
-    auto totals = simulate({ .nodes = 60, .endpoints = 200, .duration = Milliseconds(10000), .guiltyPerSecond = 20, .relayDelay = Milliseconds(600), .hasNotices = false }, seedsOr(10));
+    auto totals = simulate({ .nodes = 60, .endpoints = 200, .duration = Milliseconds(10000), .guiltyPerSecond = 20, .relayDelay = Milliseconds(600), .sendsNotices = false }, seedCountOr(10));
     BOOST_TEST(totals.mostSentLate == 0U);
-    BOOST_TEST(totals.neverKnown == 0U);
-    BOOST_TEST(totals.longestUntilKnown.count() <= 2000);
+    BOOST_TEST(totals.neverBlocked == 0U);
+    BOOST_TEST(totals.longestUntilBlocked.count() <= 2000);
     BOOST_TEST(totals.uniqueBlocked == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_guilty_request_is_not_forgotten_in_between)
+BOOST_AUTO_TEST_CASE(rarely_sent_guilty_request_stays_suspected)
 {
-    auto totals = simulate({ .duration = Milliseconds(200000), .requestsPerSecond = 2, .guiltyPerSecond = 0.1 }, seedsOr(20));
+    auto totals = simulate({ .duration = Milliseconds(200000), .requestsPerSecond = 2, .guiltyPerSecond = 0.1 }, seedCountOr(20));
     BOOST_TEST(totals.mostEnded <= 4U);
 }
 
-// A zone goes at once, and endpoints end of their own accord: a request that everybody sends is not blamed for it.
-BOOST_AUTO_TEST_CASE(ends_of_their_own_accord_block_nobody)
+// A zone fails at once, and endpoints end for other reasons: a popular request isn't blamed for it.
+BOOST_AUTO_TEST_CASE(ends_for_other_reasons_block_no_request)
 {
-    auto totals = simulate({ .endsPerSecond = 1, .zoneEndsAt = Milliseconds(10000) }, seedsOr(200));
-    BOOST_TEST(totals.popularRefused * 500 <= totals.popularAsked);
-    BOOST_TEST(totals.uniqueBlocked * 1000 <= totals.uniqueAsked);
+    auto totals = simulate({ .endsPerSecond = 1, .zoneEndsAt = Milliseconds(10000) }, seedCountOr(200));
+    BOOST_TEST(totals.popularRefused * 500 <= totals.popularReceived);
+    BOOST_TEST(totals.uniqueBlocked * 1000 <= totals.uniqueReceived);
 }
 
-// The endpoints of a lost zone are found to be gone one after the other, and what everybody sends ran at each of them.
-BOOST_AUTO_TEST_CASE(a_zone_that_ends_little_by_little_blocks_nobody)
+// The removal of the endpoints of a lost zone is detected one after the other, and the popular request ran at each of them.
+BOOST_AUTO_TEST_CASE(gradual_zone_loss_blocks_no_request)
 {
-    auto totals = simulate({ .endpoints = 60, .duration = Milliseconds(20000), .requestsPerSecond = 80, .popularPart = 0.5, .zoneEndsAt = Milliseconds(10000), .zoneEndsOver = Milliseconds(1500) }, seedsOr(50));
-    BOOST_TEST(totals.popularRefused * 500 <= totals.popularAsked);
-    BOOST_TEST(totals.uniqueBlocked * 1000 <= totals.uniqueAsked);
+    auto totals = simulate({ .endpoints = 60, .duration = Milliseconds(20000), .requestsPerSecond = 80, .popularShare = 0.5, .zoneEndsAt = Milliseconds(10000), .zoneEndDuration = Milliseconds(1500) }, seedCountOr(50));
+    BOOST_TEST(totals.popularRefused * 500 <= totals.popularReceived);
+    BOOST_TEST(totals.uniqueBlocked * 1000 <= totals.uniqueReceived);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// What users saw: a request that everybody sent and that had been answered well began to end endpoints, and reached up to 34 more later
-// than three seconds after the third. The cause: good answers to what was sent before the turn spoke for it, here and wherever they were
-// told of, and an end beside such a word was dropped, not counted. The evidence: at each of those ends some node objected, by an answer to
-// a copy sent before the first of them.
+// Guards against blocking too late a request that turns bad: a popular request that had been answered well began to end endpoints, and
+// was sent to up to 34 more of them later than three seconds after the third end. The cause: good answers to copies sent before the turn
+// made it known good, also on nodes that received a report of them, and ends under a known good request weren't counted. At each of those
+// ends some node objected because of an answer to a copy sent before the first end.
 BOOST_AUTO_TEST_SUITE(SuspectsThatTurn)
 
-BOOST_AUTO_TEST_CASE(a_popular_request_that_turns)
+BOOST_AUTO_TEST_CASE(popular_request_that_turns_guilty)
 {
-    auto totals = simulate({ .guiltyTurns = true }, seedsOr(200));
-    BOOST_TEST(totals.neverKnown == 0U);
+    auto totals = simulate({ .popularTurnsGuilty = true }, seedCountOr(200));
+    BOOST_TEST(totals.neverBlocked == 0U);
     BOOST_TEST(totals.uniqueBlocked == 0U);
     BOOST_TEST(totals.mostSentLate <= 3U);
 }
 
-// Each good answer to what was sent after the turn speaks for it: it is stopped all the same, later.
-BOOST_AUTO_TEST_CASE(a_popular_request_that_ends_most_endpoints)
+// Good answers to copies sent after the turn count in favour of the request. It is still blocked, but later.
+BOOST_AUTO_TEST_CASE(popular_request_that_turns_guilty_while_older_copies_run_well)
 {
-    auto totals = simulate({ .guiltyTurns = true, .repeatsRunWell = true }, seedsOr(200));
-    BOOST_TEST(totals.neverKnown == 0U);
+    auto totals = simulate({ .popularTurnsGuilty = true, .repeatsRunWell = true }, seedCountOr(200));
+    BOOST_TEST(totals.neverBlocked == 0U);
     BOOST_TEST(totals.uniqueBlocked == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ends_in_one_zone_at_about_the_same_time_count_once)
+BOOST_AUTO_TEST_CASE(ends_in_one_zone_within_a_moment_count_once)
 {
     SuspectBook book;
     book.onSent(request, 99);
@@ -326,17 +327,18 @@
     BOOST_TEST(!book.maySend(request, start + Milliseconds(400)));
 }
 
-// An answer to what was sent before an end says nothing of it; one to what was sent after it clears it, at nodes that are told as well.
-BOOST_AUTO_TEST_CASE(a_good_answer_clears_what_ended_before_it_was_sent)
+// An answer to a copy sent before an end doesn't clear that end. An answer to a copy sent after it does, also on nodes that receive a
+// report of it.
+BOOST_AUTO_TEST_CASE(good_answer_clears_ends_before_it_was_sent)
 {
     SuspectBook book;
-    SuspectBook told;
+    SuspectBook receiver;
     book.onSent(request, 99);
     book.onAnswered(request, 99, start, start);
     auto end = [&](std::uint64_t life, Milliseconds at) {
         book.onSent(request, life, static_cast<std::uint16_t>(life));
         book.onLost(request, life, start + at);
-        told.onNews(book.news(start + at), start + at);
+        receiver.onNews(book.news(start + at), start + at);
     };
     for (std::uint64_t life = 1; life <= 5; ++life)
         end(life, Milliseconds(100 * life));
@@ -344,8 +346,8 @@
     book.onAnswered(request, 98, start + Milliseconds(50), start + Milliseconds(600));
     end(6, Milliseconds(700));
     BOOST_TEST(!book.maySend(request, start + Milliseconds(700)));
-    BOOST_TEST(!told.maySend(request, start + Milliseconds(700)));
-    // One good answer speaks against two of the six, and the request is blocked until nothing is held against it.
+    BOOST_TEST(!receiver.maySend(request, start + Milliseconds(700)));
+    // One good answer removes two of the six ends, and the request stays blocked until none is left.
     for (int n = 0; n < 3; ++n) {
         BOOST_TEST(!book.maySend(request, start + Milliseconds(900 + n)));
         book.onSent(request, 97);
@@ -354,41 +356,41 @@
     BOOST_TEST(book.maySend(request, start + Milliseconds(910)));
 }
 
-// Blocked for three lives in three zones, a request ran well as a node tried it again, and stayed blocked: a good answer took away two of
-// the three ends, and nothing else was sent that could have taken away the last.
-BOOST_AUTO_TEST_CASE(a_good_answer_on_trial_clears_all_of_it)
+// Guards against a block that a successful trial doesn't lift: a request was blocked for three incarnations in three zones. A good answer
+// to a trial removed only two of the three ends, and no other copies were sent that could remove the last.
+BOOST_AUTO_TEST_CASE(good_answer_on_trial_clears_everything)
 {
     SuspectBook book({ .blockedFor = Milliseconds(10000) });
-    SuspectBook told({ .blockedFor = Milliseconds(10000) });
+    SuspectBook receiver({ .blockedFor = Milliseconds(10000) });
     for (std::uint64_t life = 1; life <= 3; ++life) {
         book.onSent(request, life, static_cast<std::uint16_t>(life));
         book.onLost(request, life, start + Milliseconds(10 * life));
     }
-    told.onNews(book.news(start + Milliseconds(40)), start + Milliseconds(40));
+    receiver.onNews(book.news(start + Milliseconds(40)), start + Milliseconds(40));
     auto trial = start + Milliseconds(40) + book.blockedLeft(request, start + Milliseconds(40));
     BOOST_REQUIRE(book.maySend(request, trial));
     book.onSent(request, 9, 1);
     book.onAnswered(request, 9, trial, trial + Milliseconds(100));
     BOOST_CHECK(book.verdict(request, trial + Milliseconds(100)) == SuspectVerdict::Free);
     BOOST_TEST(book.takeNewlyCleared().size() == 1U);
-    told.onNews(book.news(trial + Milliseconds(100)), trial + Milliseconds(110));
-    BOOST_CHECK(told.verdict(request, trial + Milliseconds(110)) == SuspectVerdict::Free);
+    receiver.onNews(book.news(trial + Milliseconds(100)), trial + Milliseconds(110));
+    BOOST_CHECK(receiver.verdict(request, trial + Milliseconds(110)) == SuspectVerdict::Free);
 }
 
-// Two nodes have seen three ends of a request that a third one saw answered shortly before.
-BOOST_AUTO_TEST_CASE(a_word_for_a_request_undoes_a_block_for_three_lives)
+// Three ends of a request that one node found are reported to a node that saw the request answered shortly before.
+BOOST_AUTO_TEST_CASE(known_good_report_lifts_block_of_three_ends)
 {
-    SuspectBook finder;
+    SuspectBook reporter;
     SuspectBook witness;
     witness.onSent(request, 99);
     witness.onAnswered(request, 99, start, start);
-    blockIt(finder, start + Milliseconds(100));
-    BOOST_TEST(!finder.maySend(request, start + Milliseconds(100)));
-    witness.onNews(finder.news(start + Milliseconds(100)), start + Milliseconds(100));
+    blockRequest(reporter, start + Milliseconds(100));
+    BOOST_TEST(!reporter.maySend(request, start + Milliseconds(100)));
+    witness.onNews(reporter.news(start + Milliseconds(100)), start + Milliseconds(100));
     BOOST_TEST(witness.maySend(request, start + Milliseconds(100)));
-    finder.onNews(witness.news(start + Milliseconds(110)), start + Milliseconds(110));
-    BOOST_TEST(finder.maySend(request, start + Milliseconds(110)));
-    BOOST_TEST(finder.takeNewlyCleared().size() == 1U);
+    reporter.onNews(witness.news(start + Milliseconds(110)), start + Milliseconds(110));
+    BOOST_TEST(reporter.maySend(request, start + Milliseconds(110)));
+    BOOST_TEST(reporter.takeNewlyCleared().size() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
