--- a/modules/request/active_request.cpp
+++ b/modules/request/active_request.cpp
@@ -13,27 +13,27 @@
     : m_description(transfer.description)
     , m_deadline(steadyNow() + Milliseconds(transfer.remainingMilliseconds))
     , m_answer(transfer.text, transfer.segments, transfer.tokens)
-    , m_place(transfer.place)
+    , m_location(transfer.location)
     , m_unreadSince(steadyNow())
     , m_trace(transfer.trace.begin(), transfer.trace.end())
 {
-    m_mayHaveRun = transfer.mayHaveRun || !transfer.place.empty() || !transfer.text.empty();
+    m_mayHaveRun = transfer.mayHaveRun || !transfer.location.empty() || !transfer.text.empty();
     if (transfer.outcome != RequestOutcome::Running) {
         m_answer.finish(transfer.outcome);
         m_finishedAt = steadyNow();
     }
 }
 
-AttemptPlace ActiveRequest::place() const
+AttemptLocation ActiveRequest::place() const
 {
     std::lock_guard lock(m_mutex);
-    return m_place;
+    return m_location;
 }
 
-void ActiveRequest::setPlace(const AttemptPlace& place)
+void ActiveRequest::setLocation(const AttemptLocation& location)
 {
     std::lock_guard lock(m_mutex);
-    m_place = place;
+    m_location = location;
 }
 
 bool ActiveRequest::attach(EngineStream* stream)
@@ -54,21 +54,21 @@
 void ActiveRequest::interrupt(Interruption interruption)
 {
     std::lock_guard lock(m_mutex);
-    bool stands = m_interruption == Interruption::Handover || m_interruption == Interruption::Cancelled;
-    if (stands && interruption == Interruption::EndpointLeaving)
+    bool hasPriority = m_interruption == Interruption::Handover || m_interruption == Interruption::Cancelled;
+    if (hasPriority && interruption == Interruption::EndpointLeaving)
         return;
     m_interruption = interruption;
     if (m_stream)
         m_stream->detach();
 }
 
-Interruption ActiveRequest::takeInterruption()
+Interruption ActiveRequest::consumeInterruption()
 {
     std::lock_guard lock(m_mutex);
-    auto taken = m_interruption;
-    if (taken == Interruption::EndpointLeaving)
+    auto pending = m_interruption;
+    if (pending == Interruption::EndpointLeaving)
         m_interruption = Interruption::None;
-    return taken;
+    return pending;
 }
 
 void ActiveRequest::clearInterruption()
@@ -95,25 +95,25 @@
 {
     std::lock_guard lock(m_mutex);
     m_running = running;
-    m_stopped.notify_all();
+    m_runningChanged.notify_all();
 }
 
-void ActiveRequest::waitStopped() const
+void ActiveRequest::waitUntilStopped() const
 {
     std::unique_lock lock(m_mutex);
-    m_stopped.wait(lock, [this] { return !m_running; });
+    m_runningChanged.wait(lock, [this] { return !m_running; });
 }
 
 RequestTransfer ActiveRequest::transfer() const
 {
-    auto left = toMilliseconds(m_deadline - steadyNow()).count();
+    auto remaining = toMilliseconds(m_deadline - steadyNow()).count();
     return RequestTransfer {
         .description = m_description,
-        .remainingMilliseconds = static_cast<std::uint64_t>(std::max<std::int64_t>(0, left)),
+        .remainingMilliseconds = static_cast<std::uint64_t>(std::max<std::int64_t>(0, remaining)),
         .text = m_answer.text(),
         .segments = m_answer.segments(),
         .tokens = m_answer.tokens(),
-        .place = place(),
+        .location = place(),
         .outcome = m_answer.outcome(),
         .mayHaveRun = m_mayHaveRun,
         .trace = traceEntries(),
@@ -123,17 +123,17 @@
 void ActiveRequest::noteReader(int change)
 {
     std::lock_guard lock(m_mutex);
-    m_readers += change;
+    m_readerCount += change;
     m_unreadSince = steadyNow();
 }
 
 Milliseconds ActiveRequest::unreadFor() const
 {
     std::lock_guard lock(m_mutex);
-    return m_readers > 0 ? Milliseconds(0) : toMilliseconds(steadyNow() - m_unreadSince);
+    return m_readerCount > 0 ? Milliseconds(0) : toMilliseconds(steadyNow() - m_unreadSince);
 }
 
-void ActiveRequest::noteFinished()
+void ActiveRequest::markFinished()
 {
     std::lock_guard lock(m_mutex);
     m_finishedAt = steadyNow();
--- a/modules/request/active_request.h
+++ b/modules/request/active_request.h
@@ -1,4 +1,5 @@
-// One accepted model request: what was asked, its answer so far, the attempt that is live, and what was decided about it.
+// State of one accepted model request: its description, the answer text received so far, the location of its current attempt, and a trace
+// of the decisions about it. Shared by the thread that runs the request, the readers of its answer and the handover.
 #pragma once
 
 #include "modules/request/answer_buffer.h"
@@ -10,9 +11,9 @@
 
 namespace Onyxnotch {
 
-// What a caller asked. Never changes, also not when the request moves to another node.
+// What the client requested. Immutable, also when the request moves to another node.
 struct RequestDescription {
-    std::string id {}; // The text of its ticket.
+    std::string id {}; // Text of the request's ticket.
     std::string team {};
     std::string service {};
     std::string prompt {};
@@ -26,20 +27,20 @@
     void serialize(Archive& archive) { archive(id, team, service, prompt, promptTokens, maximumTokens, priority); }
 };
 
-// Where the live attempt runs.
-struct AttemptPlace {
-    std::string attempt {}; // Also its stream id at the engine; unique for each attempt of every node incarnation.
+// Endpoint at which the current attempt of a request runs. Empty if there is no current attempt.
+struct AttemptLocation {
+    std::string attempt {}; // Attempt id, also the stream id at the engine. Unique over the attempts of all node incarnations.
     std::string endpoint {};
     Address address {};
 
-    bool operator==(const AttemptPlace&) const = default;
+    bool operator==(const AttemptLocation&) const = default;
     bool empty() const { return attempt.empty(); }
 
     template <class Archive>
     void serialize(Archive& archive) { archive(attempt, endpoint, address); }
 };
 
-// One decision about a request, for `onyxnotch explain`.
+// One decision about a request, as shown by `onyxnotch explain`.
 struct TraceEntry {
     std::uint64_t wallTime { 0 }; // Milliseconds since the Unix epoch.
     std::string node {};
@@ -52,14 +53,14 @@
     void serialize(Archive& archive) { archive(wallTime, node, event, detail); }
 };
 
-// The whole of a request as it moves from a leaving node to another one.
+// Complete state of a request, as sent when a node that is shutting down hands the request over to another node.
 struct RequestTransfer {
     RequestDescription description {};
-    std::uint64_t remainingMilliseconds { 0 }; // Until its deadline.
+    std::uint64_t remainingMilliseconds { 0 }; // Time left until the request's deadline.
     std::string text {};
     std::vector<AnswerSegment> segments {};
     std::uint32_t tokens { 0 };
-    AttemptPlace place {};
+    AttemptLocation location {};
     RequestOutcome outcome { RequestOutcome::Running };
     bool mayHaveRun { false };
     std::vector<TraceEntry> trace {};
@@ -67,15 +68,15 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(description, remainingMilliseconds, text, segments, tokens, place, outcome, mayHaveRun, trace);
+        archive(description, remainingMilliseconds, text, segments, tokens, location, outcome, mayHaveRun, trace);
     }
 };
 
-// Why the thread that runs a request was told to stop reading from its engine.
+// Why the thread that runs a request has to stop reading from its engine.
 enum class Interruption {
     None,
-    EndpointLeaving,
-    Handover,
+    EndpointLeaving, // The endpoint is draining.
+    Handover, // This node is shutting down and hands the request over to another node.
     Cancelled,
 };
 
@@ -89,34 +90,41 @@
     AnswerBuffer& answer() { return m_answer; }
     const AnswerBuffer& answer() const { return m_answer; }
 
-    AttemptPlace place() const;
-    void setPlace(const AttemptPlace&);
+    AttemptLocation place() const;
+    void setLocation(const AttemptLocation&);
 
-    // The stream that is being read, so that interrupt() can end the reading. Returns false where an interruption is pending.
+    // Registers the engine stream that is being read, so that interrupt() can stop the reading. Returns false and registers nothing if an
+    // interruption is pending.
     bool attach(EngineStream*);
     void detach();
-    // Makes the running thread stop reading soon and see why. Handover and cancellation stand; an endpoint's leaving is consumed.
+    // Makes the thread that runs the request stop reading and call consumeInterruption(). EndpointLeaving does not replace a pending
+    // Handover or Cancelled.
     void interrupt(Interruption);
-    Interruption takeInterruption();
-    // The handover found nobody: the request may go on here.
+    // Returns the pending interruption. Clears EndpointLeaving; Handover and Cancelled stay pending.
+    Interruption consumeInterruption();
+    // Clears the pending interruption, so that the request can continue here if no other node accepted it in a handover.
     void clearInterruption();
 
     void trace(const std::string& node, const std::string& event, const std::string& detail);
     std::vector<TraceEntry> traceEntries() const;
 
-    // Some engine may have run a part of it, so "not run" may not be said any more.
-    void noteMayHaveRun() { m_mayHaveRun = true; }
+    // Records that an engine may have executed part of the request. The request must then not be reported as "not run".
+    void markMayHaveRun() { m_mayHaveRun = true; }
     bool mayHaveRun() const { return m_mayHaveRun; }
 
-    // While its thread runs. The handover waits for the thread to see the interruption.
+    // Set while a thread runs the request. After an interruption, the handover calls waitUntilStopped() before it reads the request's
+    // state.
     void setRunning(bool);
-    void waitStopped() const;
+    void waitUntilStopped() const;
     RequestTransfer transfer() const;
 
+    // Adds `change` to the number of connections that read the answer: 1 when a reader starts, -1 when a reader ends.
     void noteReader(int change);
-    // How long nobody has been reading the answer; zero while somebody does.
+    // Time for which no connection has been reading the answer. 0 while at least one does.
     Milliseconds unreadFor() const;
-    void noteFinished();
+    // Records the current time as the time of the final outcome.
+    void markFinished();
+    // Default-constructed while there is no final outcome.
     SteadyTime finishedAt() const;
 
 private:
@@ -126,13 +134,13 @@
     SteadyTime m_deadline {};
     AnswerBuffer m_answer;
     mutable std::mutex m_mutex;
-    mutable std::condition_variable m_stopped;
-    AttemptPlace m_place {};
+    mutable std::condition_variable m_runningChanged;
+    AttemptLocation m_location {};
     EngineStream* m_stream { nullptr };
     Interruption m_interruption { Interruption::None };
     bool m_running { false };
     std::atomic<bool> m_mayHaveRun { false };
-    int m_readers { 0 };
+    int m_readerCount { 0 };
     SteadyTime m_unreadSince {};
     SteadyTime m_finishedAt {};
     std::deque<TraceEntry> m_trace {};
--- a/modules/request/answer_buffer.cpp
+++ b/modules/request/answer_buffer.cpp
@@ -12,7 +12,7 @@
 void AnswerBuffer::beginAttempt(const std::string& attempt)
 {
     std::lock_guard lock(m_mutex);
-    // An attempt that wrote nothing leaves no trace.
+    // Remove the segment of an attempt that generated no text.
     if (!m_segments.empty() && m_segments.back().start == m_text.size())
         m_segments.pop_back();
     m_segments.push_back({ .attempt = attempt, .start = m_text.size() });
@@ -24,16 +24,16 @@
     if (m_outcome != RequestOutcome::Running)
         return AppendResult::Finished;
     if (m_moved || m_segments.empty() || m_segments.back().attempt != attempt)
-        return AppendResult::NotLive;
+        return AppendResult::NotCurrent;
     if (offset > m_text.size())
         return AppendResult::Gap;
-    auto known = m_text.size() - offset;
-    if (known >= text.size())
-        return AppendResult::Repeated;
-    m_text.append(text.substr(known));
+    auto overlap = m_text.size() - offset;
+    if (overlap >= text.size())
+        return AppendResult::Duplicate;
+    m_text.append(text.substr(overlap));
     ++m_tokens;
     m_changed.notify_all();
-    return AppendResult::Taken;
+    return AppendResult::Appended;
 }
 
 bool AnswerBuffer::finish(RequestOutcome outcome)
@@ -68,11 +68,11 @@
     AnswerPart part { .offset = offset, .outcome = m_outcome, .moved = m_moved };
     if (m_text.size() > offset)
         part.text = m_text.substr(offset);
-    part.attempt = attemptAtLocked(offset + part.text.size());
+    part.attempt = attemptBeforeLocked(offset + part.text.size());
     return part;
 }
 
-std::string AnswerBuffer::attemptAtLocked(std::uint64_t offset) const
+std::string AnswerBuffer::attemptBeforeLocked(std::uint64_t offset) const
 {
     std::string attempt;
     for (const auto& it : m_segments) {
@@ -89,8 +89,8 @@
         return true;
     if (offset > m_text.size())
         return false;
-    // What this attempt wrote after the place where another one went on is not part of this answer.
-    return attemptAtLocked(offset) == attempt;
+    // Text that `attempt` generated after another attempt became the current one is not part of this answer.
+    return attemptBeforeLocked(offset) == attempt;
 }
 
 std::string AnswerBuffer::text() const
--- a/modules/request/chat_protocol.cpp
+++ b/modules/request/chat_protocol.cpp
@@ -16,7 +16,7 @@
         return document.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
 
-    // A message's content is a text, or an array of parts of which the text parts count.
+    // The content of a message is a string, or an array of parts of which only those of type "text" are used.
     std::string contentText(const Json& content)
     {
         if (content.is_string())
@@ -34,12 +34,12 @@
         ChatRequest request { .service = document.at("model"), .stream = document.value("stream", false) };
         for (const auto& it : document.at("messages"))
             request.prompt += it.at("role").get<std::string>() + ": " + contentText(it.at("content")) + "\n";
-        auto limit = document.value("max_completion_tokens", document.value("max_tokens", static_cast<std::int64_t>(request.maximumTokens)));
-        if (limit < 1 || limit > maximumTokenLimit)
+        auto requestedTokens = document.value("max_completion_tokens", document.value("max_tokens", static_cast<std::int64_t>(request.maximumTokens)));
+        if (requestedTokens < 1 || requestedTokens > maximumTokenLimit)
             throw std::invalid_argument("max_tokens must be from 1 to " + std::to_string(maximumTokenLimit));
         if (request.prompt.empty())
             throw std::invalid_argument("messages must not be empty");
-        request.maximumTokens = static_cast<unsigned>(limit);
+        request.maximumTokens = static_cast<unsigned>(requestedTokens);
         return request;
     }
 
@@ -56,19 +56,19 @@
 {
 }
 
-std::string ChatEventWriter::chunk(const std::string& eventId, const std::string& choices, const std::string& own) const
+std::string ChatEventWriter::chunk(const std::string& eventId, const std::string& choices, const std::string& extension) const
 {
     std::string data = R"({"id":)" + dump(m_requestId) + R"(,"object":"chat.completion.chunk","model":)" + dump(m_service) + R"(,"choices":)" + choices;
-    if (!own.empty())
-        data += R"(,"onyxnotch":)" + own;
+    if (!extension.empty())
+        data += R"(,"onyxnotch":)" + extension;
     data += "}";
     return writeServerSentEvent({ .id = eventId, .name = {}, .data = data });
 }
 
 std::string ChatEventWriter::accepted() const
 {
-    Json own { { "event", "accepted" }, { "request_id", m_requestId } };
-    return chunk({}, R"([{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}])", dump(own));
+    Json extension { { "event", "accepted" }, { "request_id", m_requestId } };
+    return chunk({}, R"([{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}])", dump(extension));
 }
 
 std::string ChatEventWriter::text(const AnswerPart& part) const
@@ -79,22 +79,22 @@
 
 std::string ChatEventWriter::completed(std::uint64_t finalOffset) const
 {
-    Json own { { "event", "end" }, { "outcome", toString(RequestOutcome::Completed) }, { "final_offset", finalOffset } };
-    return chunk({}, R"([{"index":0,"delta":{},"finish_reason":"stop"}])", {}) + chunk({}, "[]", dump(own)) + writeServerSentEvent({ .id = {}, .name = {}, .data = "[DONE]" });
+    Json extension { { "event", "end" }, { "outcome", toString(RequestOutcome::Completed) }, { "final_offset", finalOffset } };
+    return chunk({}, R"([{"index":0,"delta":{},"finish_reason":"stop"}])", {}) + chunk({}, "[]", dump(extension)) + writeServerSentEvent({ .id = {}, .name = {}, .data = "[DONE]" });
 }
 
 std::string ChatEventWriter::failed(RequestOutcome outcome, const std::string& reason, Milliseconds retryAfter) const
 {
-    Json own { { "event", "end" }, { "outcome", toString(outcome) }, { "message", reason } };
+    Json extension { { "event", "end" }, { "outcome", toString(outcome) }, { "message", reason } };
     if (retryAfter.count() > 0)
-        own["retry_after_ms"] = retryAfter.count();
-    return chunk({}, "[]", dump(own));
+        extension["retry_after_ms"] = retryAfter.count();
+    return chunk({}, "[]", dump(extension));
 }
 
 std::string ChatEventWriter::moved(const std::vector<std::string>& addresses) const
 {
-    Json own { { "event", "moved" }, { "request_id", m_requestId }, { "addresses", addresses } };
-    return chunk({}, "[]", dump(own));
+    Json extension { { "event", "moved" }, { "request_id", m_requestId }, { "addresses", addresses } };
+    return chunk({}, "[]", dump(extension));
 }
 
 std::string chatCompletion(const std::string& requestId, const std::string& service, const std::string& text, unsigned promptTokens, unsigned tokens)
--- a/modules/request/chat_protocol.h
+++ b/modules/request/chat_protocol.h
@@ -1,5 +1,5 @@
-// The callers' interface for model services: the chat-completions shape that callers' libraries already speak. What is ours stands
-// in the member "onyxnotch" of chunks whose choices are empty, which those libraries pass over.
+// Client API of model services in the chat-completions format, which common client libraries support: parses requests and writes answers.
+// Fields specific to this project are in the member "onyxnotch" of chunks that carry no answer text; those libraries ignore them.
 #pragma once
 
 #include "core/outcome.h"
@@ -10,40 +10,41 @@
 namespace Onyxnotch {
 
 struct ChatRequest {
-    std::string service {}; // The member "model".
-    std::string prompt {}; // The messages as one text, "role: content" a line.
+    std::string service {}; // Member "model" of the JSON body.
+    std::string prompt {}; // All messages joined into one text, one line "role: content" for each.
     unsigned maximumTokens { 256 };
     bool stream { false };
 
     bool operator==(const ChatRequest&) const = default;
 };
 
-// Errors: InvalidArgument, naming the member.
+// Parses the JSON body of a chat request. Errors: InvalidArgument, with a message that names the member at fault.
 Result<ChatRequest> parseChatRequest(const std::string& body);
 
-// Writes one answer's events. Event ids are "ATTEMPT:OFFSET", what a caller needs to go on elsewhere.
+// Writes the server-sent events of one streamed answer. Text events have the id "ATTEMPT:OFFSET" (the offset after their text), with which
+// a client can resume the answer at this or another gateway.
 class ChatEventWriter {
 public:
     ChatEventWriter(std::string requestId, std::string service);
 
-    // The first event: names the request.
+    // First event of a stream. Contains the request id.
     std::string accepted() const;
     std::string text(const AnswerPart&) const;
-    // The last event of a whole answer.
+    // Last events of a complete answer, of `finalOffset` bytes.
     std::string completed(std::uint64_t finalOffset) const;
-    // The last event of an answer that is not whole.
+    // Last event of an answer that did not complete. `retryAfter` is left out if it is 0.
     std::string failed(RequestOutcome, const std::string& reason, Milliseconds retryAfter) const;
-    // The answer goes on at these addresses.
+    // Last event at this gateway if the request has moved: the answer continues at these addresses.
     std::string moved(const std::vector<std::string>& addresses) const;
 
 private:
-    std::string chunk(const std::string& eventId, const std::string& choices, const std::string& own) const;
+    std::string chunk(const std::string& eventId, const std::string& choices, const std::string& extension) const;
 
     std::string m_requestId {};
     std::string m_service {};
 };
 
-// The whole answer as one JSON document.
+// Response without streaming: the complete answer as one JSON document.
 std::string chatCompletion(const std::string& requestId, const std::string& service, const std::string& text, unsigned promptTokens, unsigned tokens);
 
 } // namespace Onyxnotch
--- a/modules/request/endpoint_directory.cpp
+++ b/modules/request/endpoint_directory.cpp
@@ -17,19 +17,20 @@
 
 namespace {
 
-    // Every gateway expects a prefix at the same endpoint (the highest random weight), so that they share its cache without a word.
-    void markPrefixHome(std::vector<RouteCandidate>& candidates, std::uint64_t prefixHash)
+    // Marks one candidate as having the prompt prefix cached: the one with the highest hash of endpoint id and prefix (rendezvous hashing).
+    // All gateways pick the same endpoint, so they share its cache without exchanging messages.
+    void markPrefixCached(std::vector<RouteCandidate>& candidates, std::uint64_t prefixHash)
     {
         if (candidates.empty() || prefixHash == 0)
             return;
         auto weight = [&](const RouteCandidate& it) { return fastHash(it.endpoint.id + "|" + std::to_string(prefixHash)); };
-        auto home = std::max_element(candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) { return weight(left) < weight(right); });
-        home->load.prefixCached = true;
+        auto cachingCandidate = std::max_element(candidates.begin(), candidates.end(), [&](const auto& left, const auto& right) { return weight(left) < weight(right); });
+        cachingCandidate->load.prefixCached = true;
     }
 
-    // Unless there are no others.
+    // Removes the endpoints that are paused after refusing a request, unless all of them are paused.
     template <typename Endpoints, typename Predicate>
-    void leavePausedAlone(Endpoints& endpoints, Predicate isPaused)
+    void removePausedUnlessAll(Endpoints& endpoints, Predicate isPaused)
     {
         if (!std::all_of(endpoints.begin(), endpoints.end(), isPaused))
             std::erase_if(endpoints, isPaused);
@@ -47,7 +48,7 @@
     return ServedModel { .model = model->name.name, .adapter = spec->adapter, .objective = spec->objective };
 }
 
-std::vector<Endpoint> EndpointDirectory::stayingEngines(const ServiceSpec& service, const Configuration& configuration) const
+std::vector<Endpoint> EndpointDirectory::nonDrainingEngines(const ServiceSpec& service, const Configuration& configuration) const
 {
     const auto* model = configuration.modelVersionFor(service);
     if (!model)
@@ -56,9 +57,9 @@
         bool hasAdapter = service.adapter.empty() || std::find(it.adapters.begin(), it.adapters.end(), service.adapter) != it.adapters.end();
         return it.model == model->name.name && hasAdapter && !isLeaving(it.id);
     };
-    auto routed = subset();
+    auto reachable = subset();
     std::vector<Endpoint> engines;
-    std::copy_if(routed->begin(), routed->end(), std::back_inserter(engines), serves);
+    std::copy_if(reachable->begin(), reachable->end(), std::back_inserter(engines), serves);
     return engines;
 }
 
@@ -69,35 +70,35 @@
     std::vector<RouteCandidate> chosen;
     if (!spec)
         return chosen;
-    for (const auto& it : stayingEngines(*spec, state->configuration)) {
-        if (!excluded.contains(it.id) && !isResting(it.id))
+    for (const auto& it : nonDrainingEngines(*spec, state->configuration)) {
+        if (!excluded.contains(it.id) && !isTemporarilyUnavailable(it.id))
             chosen.push_back({ .endpoint = it, .load = m_loads.load(it.id, prefixHash) });
     }
-    leavePausedAlone(chosen, [this](const auto& it) { return m_loads.isPaused(it.endpoint.id); });
-    markPrefixHome(chosen, prefixHash);
+    removePausedUnlessAll(chosen, [this](const auto& it) { return m_loads.isPaused(it.endpoint.id); });
+    markPrefixCached(chosen, prefixHash);
     return chosen;
 }
 
 unsigned EndpointDirectory::gatewayCount() const
 {
     auto view = m_membership.view();
-    auto counts = [](const Member& it) { return it.role == MemberRole::Gateway && it.state == MemberState::Alive && !it.leaving; };
-    return static_cast<unsigned>(std::max<std::ptrdiff_t>(1, std::count_if(view->members.begin(), view->members.end(), counts)));
+    auto isActiveGateway = [](const Member& it) { return it.role == MemberRole::Gateway && it.state == MemberState::Alive && !it.leaving; };
+    return static_cast<unsigned>(std::max<std::ptrdiff_t>(1, std::count_if(view->members.begin(), view->members.end(), isActiveGateway)));
 }
 
-std::optional<Milliseconds> EndpointDirectory::delayUntilTimely(const std::string& service, const RouteRequest& request, double part) const
+std::optional<Milliseconds> EndpointDirectory::delayUntilTimely(const std::string& service, const RouteRequest& request, double objectiveFraction) const
 {
-    double limit = part * std::chrono::duration<double>(request.objective.firstToken).count();
-    std::optional<double> shortest;
+    double allowedSeconds = objectiveFraction * std::chrono::duration<double>(request.objective.firstToken).count();
+    std::optional<double> shortestDelay;
     for (const auto& it : candidates(service, request.prefixHash, {})) {
-        if (isTimely(it, request, m_options.routing, part))
+        if (isTimely(it, request, m_options.routing, objectiveFraction))
             return std::nullopt;
-        auto late = expectedFirstTokenSeconds(it, request, m_options.routing) - limit;
-        shortest = std::min(shortest.value_or(late), late);
+        auto delay = expectedFirstTokenSeconds(it, request, m_options.routing) - allowedSeconds;
+        shortestDelay = std::min(shortestDelay.value_or(delay), delay);
     }
-    if (!shortest)
+    if (!shortestDelay)
         return std::nullopt;
-    return std::chrono::duration_cast<Milliseconds>(std::chrono::duration<double>(*shortest));
+    return std::chrono::duration_cast<Milliseconds>(std::chrono::duration<double>(*shortestDelay));
 }
 
 RouteDecision EndpointDirectory::choose(const std::vector<RouteCandidate>& candidates, const RouteRequest& request) const
@@ -106,7 +107,7 @@
     return m_options.policy(candidates, request, m_options.routing, random());
 }
 
-std::vector<PlainEndpoint> EndpointDirectory::stayingPlain(const ServiceSpec& service) const
+std::vector<PlainEndpoint> EndpointDirectory::nonDrainingPlainEndpoints(const ServiceSpec& service) const
 {
     auto endpoints = service.endpoints;
     std::erase_if(endpoints, [this](const PlainEndpoint& it) { return isLeaving(it.id); });
@@ -119,34 +120,34 @@
     const auto* spec = state->configuration.service(service);
     if (!spec)
         return {};
-    auto endpoints = stayingPlain(*spec);
-    std::erase_if(endpoints, [&](const PlainEndpoint& it) { return excluded.contains(it.id) || isResting(it.id); });
-    leavePausedAlone(endpoints, [this](const auto& it) { return m_loads.isPaused(it.id); });
+    auto endpoints = nonDrainingPlainEndpoints(*spec);
+    std::erase_if(endpoints, [&](const PlainEndpoint& it) { return excluded.contains(it.id) || isTemporarilyUnavailable(it.id); });
+    removePausedUnlessAll(endpoints, [this](const auto& it) { return m_loads.isPaused(it.id); });
     return endpoints;
 }
 
-// Of those that this node may route to: what others take says nothing of when this node can serve.
+// Only considers endpoints that this node may route to, because this node cannot send requests to the others.
 Milliseconds EndpointDirectory::firstBack(const std::string& service) const
 {
     auto state = m_replica.state();
     const auto* spec = state->configuration.service(service);
     if (!spec)
         return Milliseconds(0);
-    std::optional<Milliseconds> first;
+    std::optional<Milliseconds> earliest;
     auto consider = [&](const std::string& endpoint) {
-        auto left = m_loads.untilReady(endpoint);
-        first = std::min(first.value_or(left), left);
+        auto untilAvailable = m_loads.untilReady(endpoint);
+        earliest = std::min(earliest.value_or(untilAvailable), untilAvailable);
     };
     if (spec->type == ServiceType::Model) {
-        for (const auto& it : stayingEngines(*spec, state->configuration))
+        for (const auto& it : nonDrainingEngines(*spec, state->configuration))
             consider(it.id);
     }
-    for (const auto& it : stayingPlain(*spec))
+    for (const auto& it : nonDrainingPlainEndpoints(*spec))
         consider(it.id);
-    return first.value_or(Milliseconds(0));
+    return earliest.value_or(Milliseconds(0));
 }
 
-bool EndpointDirectory::isResting(const std::string& endpoint) const { return m_loads.untilReady(endpoint).count() > 0; }
+bool EndpointDirectory::isTemporarilyUnavailable(const std::string& endpoint) const { return m_loads.untilReady(endpoint).count() > 0; }
 
 bool EndpointDirectory::isLeaving(const std::string& endpoint) const
 {
@@ -178,13 +179,13 @@
 std::shared_ptr<const std::vector<Endpoint>> EndpointDirectory::subset() const
 {
     auto state = m_replica.state();
-    auto known = std::atomic_load(&m_subset);
-    if (!known || known->state != state) {
-        // Two readers that do this at once make the same.
-        known = std::make_shared<Subset>(Subset { .state = state, .endpoints = chooseSubset(all(), m_options.node, m_options.subsetSize) });
-        std::atomic_store(&m_subset, known);
+    auto cached = std::atomic_load(&m_subset);
+    if (!cached || cached->state != state) {
+        // Concurrent readers may both compute the subset; their results are equal.
+        cached = std::make_shared<Subset>(Subset { .state = state, .endpoints = chooseSubset(all(), m_options.node, m_options.subsetSize) });
+        std::atomic_store(&m_subset, cached);
     }
-    return { known, &known->endpoints };
+    return { cached, &cached->endpoints };
 }
 
 std::vector<Endpoint> EndpointDirectory::all() const
--- a/modules/request/endpoint_directory.h
+++ b/modules/request/endpoint_directory.h
@@ -1,4 +1,5 @@
-// Which endpoints can be given work for a service now: the shared state, the leaving marks and the load, seen together.
+// Lists the endpoints that can take requests of a service at the moment. Combines the replicated state (configuration and endpoint
+// catalog), the leaving marks of the membership server and the load tracker.
 #pragma once
 
 #include "modules/replica/state_replica.h"
@@ -9,7 +10,7 @@
 
 namespace Onyxnotch {
 
-// The model version and adapter that serve a service, and what it promises.
+// Model version and adapter that serve a service, and the latency objective of the service.
 struct ServedModel {
     std::string model {};
     std::string adapter {};
@@ -20,7 +21,7 @@
 
 struct EndpointDirectoryOptions {
     std::string node {};
-    std::size_t subsetSize { 64 }; // Endpoints of one model that this node routes to.
+    std::size_t subsetSize { 64 }; // Maximum number of endpoints of one model that this node routes to.
     RouteOptions routing {};
     RoutePolicy policy {};
 };
@@ -29,44 +30,49 @@
 public:
     EndpointDirectory(const StateReplica&, const MembershipServer&, LoadTracker&, EndpointDirectoryOptions);
 
-    // The endpoints that serve the service's model version, without those that leave, rest or take no more for now, and those in `excluded`. Those that turned a
-    // request away a moment ago only where there are no others.
+    // Endpoints of this node's subset that serve the service's model version, except those that are draining, that are in a backoff they
+    // requested, that have no credit left, or that are in `excluded`. Endpoints that refused a request a moment ago are included only if
+    // there are no others.
     std::vector<RouteCandidate> candidates(const std::string& service, std::uint64_t prefixHash, const std::set<std::string>& excluded) const;
-    // Empty where a candidate can take the request without being late, or there is none at all. Otherwise how late it would be.
-    std::optional<Milliseconds> delayUntilTimely(const std::string& service, const RouteRequest&, double part) const;
-    // Of those the one that routing chooses, with the reason.
+    // How much later than `objectiveFraction` of the time-to-first-token objective the first token is expected at the best candidate. Empty
+    // if a candidate can take the request in time, or if there is no candidate.
+    std::optional<Milliseconds> delayUntilTimely(const std::string& service, const RouteRequest&, double objectiveFraction) const;
+    // Chooses one of the candidates by the configured routing policy, with the reason.
     RouteDecision choose(const std::vector<RouteCandidate>&, const RouteRequest&) const;
-    // Tokens that the engine will have to prefill.
+    // Expected number of tokens that the candidate's engine has to prefill, because they are not in its cache.
     double expectedPrefill(const RouteCandidate& candidate, const RouteRequest& request) const { return uncachedTokens(candidate, request, m_options.routing); }
-    // How long all endpoints of the service still rest, as they asked this node, or take no more from it; 0 where one does, or there is none.
+    // Time until the first endpoint of the service is available again, if all are in a backoff they requested or have no credit left for
+    // this node. 0 if one is available now, or if there is none.
     Milliseconds firstBack(const std::string& service) const;
-    // Fixed endpoints of a plain service, chosen in the same way.
+    // Endpoints that the declaration of a plain service lists, filtered like those of candidates().
     std::vector<PlainEndpoint> plainEndpoints(const std::string& service, const std::set<std::string>& excluded) const;
 
-    // By a mark of any source, or an operator's Drain object.
+    // Whether the endpoint is draining: it has a leaving mark from any source, or an operator declared a Drain object for it.
     bool isLeaving(const std::string& endpoint) const;
-    // When it ends; empty where that is not known.
+    // Time until a draining endpoint ends. Empty if no deadline is known.
     std::optional<Milliseconds> timeLeft(const std::string& endpoint) const;
     std::optional<Endpoint> find(const std::string& endpoint) const;
+    // All engines in the endpoint catalog, over all zones.
     std::vector<Endpoint> all() const;
-    // Those that this node routes to; made anew when the shared state has changed.
+    // Engines that this node routes to, a part of all(). Computed again when the replicated state has changed.
     std::shared_ptr<const std::vector<Endpoint>> subset() const;
-    // What a model service is served by; empty for none.
+    // Empty if the service is not declared or has no model version.
     std::optional<ServedModel> servedModel(const std::string& service) const;
 
     LoadTracker& loads() const { return m_loads; }
 
-    // Gateways that send requests to the same endpoints.
+    // Number of gateways that send requests to the same endpoints: alive and not shutting down. At least 1.
     unsigned gatewayCount() const;
 
 private:
-    // Those that serve the service and do not leave, resting ones included: engines of this node's part, and fixed endpoints.
-    std::vector<Endpoint> stayingEngines(const ServiceSpec&, const Configuration&) const;
-    std::vector<PlainEndpoint> stayingPlain(const ServiceSpec&) const;
-    // Or takes no more for now.
-    bool isResting(const std::string& endpoint) const;
+    // Endpoints that serve the service and are not draining, including temporarily unavailable ones: engines of this node's subset, and the
+    // endpoints that a plain service lists.
+    std::vector<Endpoint> nonDrainingEngines(const ServiceSpec&, const Configuration&) const;
+    std::vector<PlainEndpoint> nonDrainingPlainEndpoints(const ServiceSpec&) const;
+    // Whether the endpoint is in a backoff that it requested, or has no credit left for this node.
+    bool isTemporarilyUnavailable(const std::string& endpoint) const;
 
-    // The part of the endpoints that follows from one state.
+    // The result of subset() for one version of the replicated state.
     struct Subset {
         std::shared_ptr<const SharedState> state {};
         std::vector<Endpoint> endpoints {};
--- a/modules/request/handover.cpp
+++ b/modules/request/handover.cpp
@@ -18,7 +18,7 @@
         return request->description().prompt.size() + request->answer().size();
     }
 
-    // Splits requests into groups of about `bytes` each, in order.
+    // Splits the requests, in order, into groups with about `bytes` of prompt and answer text each.
     std::vector<std::vector<std::shared_ptr<ActiveRequest>>> groupBySize(const std::vector<std::shared_ptr<ActiveRequest>>& requests, std::size_t bytes)
     {
         std::vector<std::vector<std::shared_ptr<ActiveRequest>>> groups;
@@ -49,7 +49,7 @@
     auto view = m_membership.view();
     auto others = view->usable(MemberRole::Gateway);
     std::erase_if(others, [&](const Member& it) { return it.node == view->self.node; });
-    // Leaving nodes of one zone spread over the others, so that a zone's reclaim does not end at a single node.
+    // The hash spreads the nodes of a zone over different successors, so that a reclaim of the zone does not move all work to one node.
     auto order = [&](const Member& it) { return std::make_pair(it.zone == view->self.zone, fastHash(view->self.node + "|" + it.node)); };
     std::sort(others.begin(), others.end(), [&](const Member& left, const Member& right) { return order(left) < order(right); });
     return others;
@@ -76,7 +76,7 @@
         bool earlierUnclear = false;
         for (unsigned n = 0; n < m_options.offerAttempts && result == OfferResult::Unclear && steadyNow() < deadline; ++n) {
             result = send(target, packMessage(MessageType::LedgerOffer, it), deadline);
-            // A refusal after a lost answer says nothing about the copy before it.
+            // After a lost reply or an accepted offer the node may already have a ledger, and a later refusal does not rule that out.
             if (result == OfferResult::Refused && (earlierUnclear || anyAccepted))
                 result = OfferResult::Unclear;
             earlierUnclear |= result == OfferResult::Unclear;
@@ -88,7 +88,7 @@
     return OfferResult::Accepted;
 }
 
-void Handover::announce(const Member& target, const std::vector<LedgerOfferMessage>& offers)
+void Handover::announceSuccessor(const Member& target, const std::vector<LedgerOfferMessage>& offers)
 {
     for (const auto& it : offers) {
         m_membership.announceSuccession({
@@ -105,21 +105,22 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        if (m_offered)
+        if (m_isOffered)
             return m_successor.has_value();
-        m_offered = true;
+        m_isOffered = true;
     }
     for (const auto& target : successors()) {
         if (steadyNow() >= deadline)
             break;
-        auto offers = m_ledgers.giveAll(++m_generation);
+        auto offers = m_ledgers.startTransferAll(++m_generation);
         auto result = offerTo(target, offers, deadline);
         logEvent(LogLevel::Info, "ledgers_offered", { { "node", target.node }, { "result", result == OfferResult::Accepted ? "accepted" : result == OfferResult::Refused ? "refused"
                                                                                                                                                                          : "unclear" } });
         if (result == OfferResult::Refused)
             continue;
         if (result == OfferResult::Unclear) {
-            // It may have the ledgers, so no other node may get them and this one may not go on either. If it has, it says so itself.
+            // The node may have the ledgers, so they must not be offered to another one, and this node must not admit tickets again. If the
+            // node has them, it announces the succession itself.
             m_metrics.increment("onyxnotch_handover_unclear_total");
             return false;
         }
@@ -129,40 +130,40 @@
             m_successor = target;
             pending.swap(m_pendingUpdates);
         }
-        announce(target, offers);
+        announceSuccessor(target, offers);
         for (const auto& it : pending)
             sendUpdate(it);
         return true;
     }
-    m_ledgers.takeBackAll();
+    m_ledgers.cancelTransferAll();
     std::lock_guard lock(m_mutex);
-    m_offered = false;
+    m_isOffered = false;
     return false;
 }
 
-HandoverReport Handover::giveRequests(std::vector<std::shared_ptr<ActiveRequest>> requests, SteadyTime deadline, const MovedHook& moved, const LeftHook& left)
+HandoverReport Handover::giveRequests(std::vector<std::shared_ptr<ActiveRequest>> requests, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining)
 {
     std::sort(requests.begin(), requests.end(), [](const auto& left, const auto& right) { return contextSize(left) > contextSize(right); });
     for (const auto& it : requests)
         it->interrupt(Interruption::Handover);
     HandoverReport report;
     auto targets = successors();
-    // The node that has the ledgers goes first, so that a request and its entry are at the same node.
+    // Try the node with the ledgers first, so that a request and its ledger entry are at the same node.
     auto preferred = successor();
     std::stable_sort(targets.begin(), targets.end(), [&](const Member& left, const Member& right) {
-        auto first = [&](const Member& it) { return preferred && it.node == preferred->node; };
-        return first(left) && !first(right);
+        auto isPreferred = [&](const Member& it) { return preferred && it.node == preferred->node; };
+        return isPreferred(left) && !isPreferred(right);
     });
     for (const auto& group : groupBySize(requests, m_options.batchBytes)) {
         RequestBatchMessage message { .giverNode = m_membership.view()->self.node };
         for (const auto& it : group) {
-            it->waitStopped();
+            it->waitUntilStopped();
             it->answer().markMoved();
             message.requests.push_back(it->transfer());
         }
         auto frame = packMessage(MessageType::RequestBatch, message);
-        auto taker = std::find_if(targets.begin(), targets.end(), [&](const Member& it) {
-            // A lost answer is tried once more: taking a request twice is harmless there.
+        auto receiver = std::find_if(targets.begin(), targets.end(), [&](const Member& it) {
+            // Send the batch once more if the reply is lost: the receiver ignores requests that it already has.
             for (unsigned n = 0; n < 2 && steadyNow() < deadline; ++n) {
                 auto result = send(it, frame, deadline);
                 if (result != OfferResult::Unclear)
@@ -170,20 +171,20 @@
             }
             return false;
         });
-        if (taker == targets.end()) {
-            report.requestsLeft += static_cast<unsigned>(group.size());
+        if (receiver == targets.end()) {
+            report.requestsRemaining += static_cast<unsigned>(group.size());
             for (const auto& it : group)
-                left(it);
+                remaining(it);
             continue;
         }
-        report.successor = taker->node;
-        report.requestsGiven += static_cast<unsigned>(group.size());
+        report.successor = receiver->node;
+        report.requestsMoved += static_cast<unsigned>(group.size());
         for (const auto& it : group)
-            moved(it, *taker);
+            moved(it, *receiver);
     }
-    report.ledgersGiven = preferred.has_value();
-    m_metrics.increment("onyxnotch_requests_handed_over_total", {}, report.requestsGiven);
-    logEvent(LogLevel::Info, "requests_handed_over", { { "given", report.requestsGiven }, { "left", report.requestsLeft }, { "successor", report.successor } });
+    report.ledgersTransferred = preferred.has_value();
+    m_metrics.increment("onyxnotch_requests_handed_over_total", {}, report.requestsMoved);
+    logEvent(LogLevel::Info, "requests_handed_over", { { "given", report.requestsMoved }, { "left", report.requestsRemaining }, { "successor", report.successor } });
     return report;
 }
 
@@ -202,7 +203,8 @@
         return;
     LedgerUpdateMessage message { .homeNode = ticket.value().node, .homeIncarnation = ticket.value().incarnation, .entry = *entry };
     auto frame = packMessage(MessageType::LedgerUpdate, message);
-    // Without this word the successor says "unknown" once this node is gone: correct, but less than is known here.
+    // If this update is lost, the successor reports the outcome as "unknown" after this node has stopped. That is correct, but less than is
+    // known here.
     if (send(*target, frame, steadyNow() + m_options.callTimeout) != OfferResult::Accepted)
         logEvent(LogLevel::Warning, "ledger_update_lost", { { "request_id", requestId }, { "node", target->node } });
 }
--- a/modules/request/handover.h
+++ b/modules/request/handover.h
@@ -1,4 +1,5 @@
-// Gives everything that a leaving node answers for to nodes that stay: its ledgers first, then its requests, the longest first.
+// Transfers the work of a node that is shutting down to other gateways: first its request ledgers, then its requests, those with the most
+// prompt and answer text first.
 #pragma once
 
 #include "core/metrics.h"
@@ -10,71 +11,77 @@
 
 namespace Onyxnotch {
 
+// Requests that a node hands over to another one.
 struct RequestBatchMessage {
-    std::string giverNode {};
+    std::string giverNode {}; // Node that sends the batch.
     std::vector<RequestTransfer> requests {};
 
     template <class Archive>
     void serialize(Archive& archive) { archive(giverNode, requests); }
 };
 
-// The answer to each message of a handover.
+// Reply to each message of a handover.
 struct HandoverReplyMessage {
     bool accepted { false };
-    std::string reason {};
+    std::string reason {}; // Why the message was refused.
 
     template <class Archive>
     void serialize(Archive& archive) { archive(accepted, reason); }
 };
 
 struct HandoverOptions {
-    Milliseconds callTimeout { 1000 }; // Of one message to a successor.
-    unsigned offerAttempts { 3 }; // At one successor whose answers are lost.
-    std::size_t batchBytes { 256U << 10U }; // Of request text in one message.
+    Milliseconds callTimeout { 1000 }; // For one message to a successor and its reply.
+    unsigned offerAttempts { 3 }; // How often a ledger is offered to one successor whose replies are lost.
+    std::size_t batchBytes { 256U << 10U }; // Approximate prompt and answer text in one message.
 };
 
-// How a handover went.
+// Result of transferring requests.
 struct HandoverReport {
-    bool ledgersGiven { false };
-    std::string successor {};
-    unsigned requestsGiven { 0 };
-    unsigned requestsLeft { 0 }; // Nobody took them.
+    bool ledgersTransferred { false }; // Whether a successor had accepted the ledgers before.
+    std::string successor {}; // Node that accepted the last batch of requests.
+    unsigned requestsMoved { 0 };
+    unsigned requestsRemaining { 0 }; // No other node accepted them.
 
     bool operator==(const HandoverReport&) const = default;
 };
 
-// The giving side.
+// Sending side of a handover.
 class Handover {
 public:
-    // Called for each request that another node has taken, with that node's address for callers.
+    // Called for each request that another node accepted, with that node, whose address clients need.
     using MovedHook = std::function<void(const std::shared_ptr<ActiveRequest>&, const Member&)>;
 
-    using LeftHook = std::function<void(const std::shared_ptr<ActiveRequest>&)>;
+    // Called for each request that no other node accepted.
+    using RemainingHook = std::function<void(const std::shared_ptr<ActiveRequest>&)>;
 
     Handover(const HandoverOptions&, MembershipServer&, LedgerBook&, Metrics&);
 
-    // Offers all ledgers to one successor. Marks them as given first, and takes them back only where it certainly has not got them.
-    // Calling it again after it succeeded does nothing.
+    // Offers all ledgers to other gateways, one after another, until one accepts; returns whether one did. The ledgers are marked as
+    // transferred before the first offer. If every gateway refuses or the deadline passes, the marks are removed. If a gateway may have
+    // received them but its reply is missing, they stay marked and no other gateway is tried. A call after an accepted or unclear offer
+    // only returns the earlier result.
     bool giveLedgers(SteadyTime deadline);
-    // Stops the requests' threads and gives the requests away. `left` gets those that nobody took.
-    HandoverReport giveRequests(std::vector<std::shared_ptr<ActiveRequest>>, SteadyTime deadline, const MovedHook& moved, const LeftHook& left);
-    // Tells the successor how an entry ended here after its ledger was given. Before the successor has answered the offer, the word is
-    // kept and sent then.
+    // Stops the threads that run the requests and transfers the requests in batches. Calls one of the hooks for each request.
+    HandoverReport giveRequests(std::vector<std::shared_ptr<ActiveRequest>>, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining);
+    // Sends the ledger entry of a request that ended here after its ledger was transferred. If no successor has accepted the ledgers yet,
+    // the update is queued until one does.
     void sendUpdate(const std::string& requestId);
+    // Node that accepted the ledgers, if any.
     std::optional<Member> successor() const;
 
 private:
     enum class OfferResult {
         Accepted,
-        Refused, // Certainly not taken.
-        Unclear,
+        Refused, // The node certainly did not take the content of the message.
+        Unclear, // The node may have taken the content: its reply was lost or malformed.
     };
 
-    // Nodes that could take over: those of other zones first.
+    // Gateways that can take over, those of other zones first.
     std::vector<Member> successors() const;
     OfferResult offerTo(const Member&, const std::vector<LedgerOfferMessage>&, SteadyTime deadline) const;
     OfferResult send(const Member&, const Frame&, SteadyTime deadline) const;
-    void announce(const Member&, const std::vector<LedgerOfferMessage>&);
+    // Publishes that the node now hosts the offered ledgers.
+    void announceSuccessor(const Member&, const std::vector<LedgerOfferMessage>&);
 
     HandoverOptions m_options;
     MembershipServer& m_membership;
@@ -83,7 +90,7 @@
     mutable std::mutex m_mutex;
     std::optional<Member> m_successor {};
     std::uint32_t m_generation { 0 };
-    bool m_offered { false };
+    bool m_isOffered { false };
     std::vector<std::string> m_pendingUpdates;
 };
 
--- a/modules/request/ledger.cpp
+++ b/modules/request/ledger.cpp
@@ -11,7 +11,7 @@
 
 Ledger::Ledger(const LedgerOptions& options, const LedgerContent& content)
     : m_options(options)
-    , m_floor(content.floor)
+    , m_refusedUpTo(content.refusedUpTo)
 {
     for (const auto& it : content.entries)
         m_entries.emplace(it.requestId, it);
@@ -20,21 +20,21 @@
 LedgerDecision Ledger::admit(const Ticket& ticket, const std::string& holderNode, std::uint64_t holderIncarnation, std::uint64_t now)
 {
     auto id = ticket.text();
-    // A given ledger still knows its entries, but its new node may know more.
-    if (m_given)
+    // A transferred ledger still has its entries, but the node that received it may have newer outcomes.
+    if (m_isTransferred)
         return { .verdict = LedgerVerdict::Given, .entry = find(id) };
     auto it = m_entries.find(id);
     if (it != m_entries.end()) {
         auto verdict = it->second.outcome == RequestOutcome::NotRun ? LedgerVerdict::Refused : LedgerVerdict::Known;
         return { .verdict = verdict, .entry = it->second };
     }
-    // Its entry may have been dropped already.
+    // The entry of an expired ticket may already have been removed.
     if (ticket.expiry <= now)
         return { .verdict = LedgerVerdict::Expired, .entry = std::nullopt };
-    if (ticket.sequence <= m_floor)
+    if (ticket.sequence <= m_refusedUpTo)
         return { .verdict = LedgerVerdict::Refused, .entry = std::nullopt };
     if (m_entries.size() >= m_options.maximumEntries) {
-        m_floor = std::max(m_floor, ticket.sequence);
+        m_refusedUpTo = std::max(m_refusedUpTo, ticket.sequence);
         return { .verdict = LedgerVerdict::Full, .entry = std::nullopt };
     }
     LedgerEntry entry {
@@ -49,7 +49,7 @@
     return { .verdict = LedgerVerdict::Run, .entry = entry };
 }
 
-bool Ledger::burn(const Ticket& ticket, std::uint64_t now)
+bool Ledger::refuse(const Ticket& ticket, std::uint64_t now)
 {
     auto decision = admit(ticket, {}, 0, now);
     if (decision.verdict == LedgerVerdict::Run) {
@@ -80,16 +80,16 @@
     it->second.holderIncarnation = incarnation;
 }
 
-LedgerContent Ledger::give()
+LedgerContent Ledger::startTransfer()
 {
-    m_given = true;
-    LedgerContent content { .floor = m_floor };
+    m_isTransferred = true;
+    LedgerContent content { .refusedUpTo = m_refusedUpTo };
     for (const auto& [id, entry] : m_entries)
         content.entries.push_back(entry);
     return content;
 }
 
-void Ledger::takeBack() { m_given = false; }
+void Ledger::cancelTransfer() { m_isTransferred = false; }
 
 std::optional<LedgerEntry> Ledger::find(const std::string& requestId) const
 {
--- a/modules/request/ledger_book.cpp
+++ b/modules/request/ledger_book.cpp
@@ -8,9 +8,9 @@
 
     constexpr unsigned ticketKeyBytes = 32;
 
-    Error notAnswering() { return Error { ErrorCode::NotFound, "this node does not answer for the ticket's home" }; }
+    Error ledgerNotHostedError() { return Error { ErrorCode::NotFound, "this node does not answer for the ticket's home" }; }
 
-    Error otherTeam() { return Error { ErrorCode::Unauthorized, "the ticket is not this team's" }; }
+    Error otherTeamError() { return Error { ErrorCode::Unauthorized, "the ticket is not this team's" }; }
 
 } // namespace
 
@@ -19,7 +19,7 @@
     , m_origin(steadyNow())
 {
     auto issuer = std::make_unique<TicketIssuer>(options.node, options.incarnation, randomHex(ticketKeyBytes));
-    m_books.emplace(Home { options.node, options.incarnation }, Book { .issuer = std::move(issuer), .ledger = Ledger(options.ledger) });
+    m_hostedLedgers.emplace(HomeIncarnation { options.node, options.incarnation }, HostedLedger { .issuer = std::move(issuer), .ledger = Ledger(options.ledger) });
 }
 
 std::uint64_t LedgerBook::now() const
@@ -27,77 +27,77 @@
     return static_cast<std::uint64_t>(toMilliseconds(steadyNow() - m_origin).count());
 }
 
-const LedgerBook::Book* LedgerBook::findBook(const Ticket& ticket) const
+const LedgerBook::HostedLedger* LedgerBook::findLedger(const Ticket& ticket) const
 {
-    auto it = m_books.find({ ticket.node, ticket.incarnation });
-    return it == m_books.end() ? nullptr : &it->second;
+    auto it = m_hostedLedgers.find({ ticket.node, ticket.incarnation });
+    return it == m_hostedLedgers.end() ? nullptr : &it->second;
 }
 
-LedgerBook::Book* LedgerBook::findBook(const Ticket& ticket)
+LedgerBook::HostedLedger* LedgerBook::findLedger(const Ticket& ticket)
 {
-    auto it = m_books.find({ ticket.node, ticket.incarnation });
-    return it == m_books.end() ? nullptr : &it->second;
+    auto it = m_hostedLedgers.find({ ticket.node, ticket.incarnation });
+    return it == m_hostedLedgers.end() ? nullptr : &it->second;
 }
 
-LedgerBook::Book* LedgerBook::findBookOf(const std::string& requestId)
+LedgerBook::HostedLedger* LedgerBook::findLedgerOfRequest(const std::string& requestId)
 {
     auto ticket = parseTicket(requestId);
-    return ticket ? findBook(ticket.value()) : nullptr;
+    return ticket ? findLedger(ticket.value()) : nullptr;
 }
 
 Ticket LedgerBook::issue(const std::string& team)
 {
     auto expiry = now() + static_cast<std::uint64_t>(m_options.ticketLifetime.count());
     std::lock_guard lock(m_mutex);
-    return m_books.at({ m_options.node, m_options.incarnation }).issuer->issue(team, expiry);
+    return m_hostedLedgers.at({ m_options.node, m_options.incarnation }).issuer->issue(team, expiry);
 }
 
 bool LedgerBook::answersFor(const Ticket& ticket) const
 {
     std::lock_guard lock(m_mutex);
-    return findBook(ticket) != nullptr;
+    return findLedger(ticket) != nullptr;
 }
 
 Result<LedgerDecision> LedgerBook::admit(const Ticket& ticket, const std::string& team)
 {
     std::lock_guard lock(m_mutex);
-    auto* book = findBook(ticket);
-    if (!book)
-        return notAnswering();
-    if (!book->issuer->verify(ticket, team))
-        return otherTeam();
-    return book->ledger.admit(ticket, m_options.node, m_options.incarnation, now() + book->clockOffset);
+    auto* hosted = findLedger(ticket);
+    if (!hosted)
+        return ledgerNotHostedError();
+    if (!hosted->issuer->verify(ticket, team))
+        return otherTeamError();
+    return hosted->ledger.admit(ticket, m_options.node, m_options.incarnation, now() + hosted->clockOffset);
 }
 
-bool LedgerBook::burn(const Ticket& ticket)
+bool LedgerBook::refuse(const Ticket& ticket)
 {
     std::lock_guard lock(m_mutex);
-    auto* book = findBook(ticket);
-    return book && book->ledger.burn(ticket, now() + book->clockOffset);
+    auto* hosted = findLedger(ticket);
+    return hosted && hosted->ledger.refuse(ticket, now() + hosted->clockOffset);
 }
 
 bool LedgerBook::finish(const std::string& requestId, RequestOutcome outcome, int httpStatus, const std::string& body)
 {
     std::lock_guard lock(m_mutex);
-    auto* book = findBookOf(requestId);
-    bool first = book && book->ledger.finish(requestId, outcome, httpStatus, body);
+    auto* hosted = findLedgerOfRequest(requestId);
+    bool isFinished = hosted && hosted->ledger.finish(requestId, outcome, httpStatus, body);
     m_changed.notify_all();
-    return first;
+    return isFinished;
 }
 
 void LedgerBook::setHolder(const std::string& requestId, const std::string& node, std::uint64_t incarnation)
 {
     std::lock_guard lock(m_mutex);
-    if (auto* book = findBookOf(requestId))
-        book->ledger.setHolder(requestId, node, incarnation);
+    if (auto* hosted = findLedgerOfRequest(requestId))
+        hosted->ledger.setHolder(requestId, node, incarnation);
 }
 
 std::optional<LedgerEntry> LedgerBook::find(const std::string& requestId) const
 {
     std::lock_guard lock(m_mutex);
     auto ticket = parseTicket(requestId);
-    const auto* book = ticket ? findBook(ticket.value()) : nullptr;
-    return book ? book->ledger.find(requestId) : std::nullopt;
+    const auto* hosted = ticket ? findLedger(ticket.value()) : nullptr;
+    return hosted ? hosted->ledger.find(requestId) : std::nullopt;
 }
 
 std::optional<LedgerEntry> LedgerBook::waitFinished(const std::string& requestId, Milliseconds limit)
@@ -105,8 +105,8 @@
     std::unique_lock lock(m_mutex);
     std::optional<LedgerEntry> entry;
     m_changed.wait_for(lock, limit, [&] {
-        auto* book = findBookOf(requestId);
-        entry = book ? book->ledger.find(requestId) : std::nullopt;
+        auto* hosted = findLedgerOfRequest(requestId);
+        entry = hosted ? hosted->ledger.find(requestId) : std::nullopt;
         return !entry || entry->outcome != RequestOutcome::Running;
     });
     return entry;
@@ -115,66 +115,66 @@
 Status LedgerBook::verify(const Ticket& ticket, const std::string& team) const
 {
     std::lock_guard lock(m_mutex);
-    const auto* book = findBook(ticket);
-    if (!book)
-        return notAnswering();
-    if (!book->issuer->verify(ticket, team))
-        return otherTeam();
+    const auto* hosted = findLedger(ticket);
+    if (!hosted)
+        return ledgerNotHostedError();
+    if (!hosted->issuer->verify(ticket, team))
+        return otherTeamError();
     return success();
 }
 
-std::vector<LedgerOfferMessage> LedgerBook::giveAll(std::uint32_t generation)
+std::vector<LedgerOfferMessage> LedgerBook::startTransferAll(std::uint32_t generation)
 {
     std::lock_guard lock(m_mutex);
     std::vector<LedgerOfferMessage> offers;
-    for (auto& [home, book] : m_books) {
+    for (auto& [home, hosted] : m_hostedLedgers) {
         offers.push_back({
-            .giverNode = m_options.node,
-            .giverIncarnation = m_options.incarnation,
+            .senderNode = m_options.node,
+            .senderIncarnation = m_options.incarnation,
             .homeNode = home.first,
             .homeIncarnation = home.second,
             .generation = generation,
-            .ticketKey = book.issuer->key(),
-            .giverNow = now() + book.clockOffset,
-            .content = book.ledger.give(),
+            .ticketKey = hosted.issuer->key(),
+            .ledgerTime = now() + hosted.clockOffset,
+            .content = hosted.ledger.startTransfer(),
         });
     }
     return offers;
 }
 
-void LedgerBook::takeBackAll()
+void LedgerBook::cancelTransferAll()
 {
     std::lock_guard lock(m_mutex);
-    for (auto& [home, book] : m_books)
-        book.ledger.takeBack();
+    for (auto& [home, hosted] : m_hostedLedgers)
+        hosted.ledger.cancelTransfer();
 }
 
 bool LedgerBook::given() const
 {
     std::lock_guard lock(m_mutex);
-    return m_books.at({ m_options.node, m_options.incarnation }).ledger.given();
+    return m_hostedLedgers.at({ m_options.node, m_options.incarnation }).ledger.isTransferred();
 }
 
 Status LedgerBook::adopt(const LedgerOfferMessage& offer)
 {
     std::lock_guard lock(m_mutex);
-    Home home { offer.homeNode, offer.homeIncarnation };
-    if (m_books.contains(home))
+    HomeIncarnation home { offer.homeNode, offer.homeIncarnation };
+    if (m_hostedLedgers.contains(home))
         return success();
-    if (m_books.size() > m_options.maximumAdoptedLedgers)
+    if (m_hostedLedgers.size() > m_options.maximumAdoptedLedgers)
         return Error { ErrorCode::Exhausted, "too many adopted ledgers" };
-    // The sequence goes on after every ticket that the home can have issued; a successor issues none in its name.
+    // This issuer only verifies tickets: a successor issues none in the name of another node.
     auto issuer = std::make_unique<TicketIssuer>(offer.homeNode, offer.homeIncarnation, offer.ticketKey);
-    // Unsigned arithmetic wraps, so an offset below zero works too.
-    m_books.emplace(home, Book { .issuer = std::move(issuer), .ledger = Ledger(m_options.ledger, offer.content), .clockOffset = offer.giverNow - now() });
+    // The offset may be below zero: unsigned arithmetic wraps around, also when now() is added to the offset.
+    m_hostedLedgers.emplace(home, HostedLedger { .issuer = std::move(issuer), .ledger = Ledger(m_options.ledger, offer.content), .clockOffset = offer.ledgerTime - now() });
     return success();
 }
 
 void LedgerBook::applyUpdate(const LedgerUpdateMessage& update)
 {
     std::lock_guard lock(m_mutex);
-    auto it = m_books.find({ update.homeNode, update.homeIncarnation });
-    if (it == m_books.end())
+    auto it = m_hostedLedgers.find({ update.homeNode, update.homeIncarnation });
+    if (it == m_hostedLedgers.end())
         return;
     it->second.ledger.finish(update.entry.requestId, update.entry.outcome, update.entry.httpStatus, update.entry.body);
     m_changed.notify_all();
@@ -183,16 +183,16 @@
 void LedgerBook::expire()
 {
     std::lock_guard lock(m_mutex);
-    for (auto& [home, book] : m_books)
-        book.ledger.expire(now() + book.clockOffset);
+    for (auto& [home, hosted] : m_hostedLedgers)
+        hosted.ledger.expire(now() + hosted.clockOffset);
 }
 
 std::size_t LedgerBook::entryCount() const
 {
     std::lock_guard lock(m_mutex);
     std::size_t count = 0;
-    for (const auto& [home, book] : m_books)
-        count += book.ledger.size();
+    for (const auto& [home, hosted] : m_hostedLedgers)
+        count += hosted.ledger.size();
     return count;
 }
 
--- a/modules/request/ledger_book.h
+++ b/modules/request/ledger_book.h
@@ -1,4 +1,4 @@
-// All ledgers that this node answers for: its own, and those that leaving nodes gave it. Thread safe.
+// Registry of the request ledgers that this node hosts: its own, and those it received from nodes that shut down. Thread safe.
 #pragma once
 
 #include "core/clock.h"
@@ -9,25 +9,25 @@
 
 namespace Onyxnotch {
 
-// A ledger on its way to a successor.
+// Offers a ledger to a successor.
 struct LedgerOfferMessage {
-    std::string giverNode {}; // Who sends it.
-    std::uint64_t giverIncarnation { 0 };
-    std::string homeNode {}; // Whose tickets it is about; the giver may itself have been given it.
+    std::string senderNode {}; // Node that sends the offer.
+    std::uint64_t senderIncarnation { 0 };
+    std::string homeNode {}; // Node that issued the ledger's tickets. Not the sender if the sender received the ledger itself.
     std::uint64_t homeIncarnation { 0 };
-    std::uint32_t generation { 1 };
-    std::string ticketKey {};
-    std::uint64_t giverNow { 0 }; // The giver's reading of this ledger's clock.
+    std::uint32_t generation { 1 }; // Increases with each node to which the sender offers its ledgers.
+    std::string ticketKey {}; // Signs the home's tickets.
+    std::uint64_t ledgerTime { 0 }; // Current time on this ledger's clock, in milliseconds, when the offer was made.
     LedgerContent content {};
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(giverNode, giverIncarnation, homeNode, homeIncarnation, generation, ticketKey, giverNow, content);
+        archive(senderNode, senderIncarnation, homeNode, homeIncarnation, generation, ticketKey, ledgerTime, content);
     }
 };
 
-// An entry that ended at the giver after its ledger was given.
+// Ledger entry of a request that ended at the sender after the ledger was transferred.
 struct LedgerUpdateMessage {
     std::string homeNode {};
     std::uint64_t homeIncarnation { 0 };
@@ -50,48 +50,54 @@
     explicit LedgerBook(const LedgerBookOptions&);
 
     Ticket issue(const std::string& team);
-    // Whether this node answers for the ticket's home.
+    // Whether this node hosts the ledger of the node incarnation that issued the ticket.
     bool answersFor(const Ticket&) const;
-    // Errors: Unauthorized where the ticket is not this team's; NotFound where this node does not answer for its home.
+    // As Ledger::admit(), with this node as the holder. Errors: Unauthorized if the ticket was not issued to this team; NotFound if this
+    // node does not host the ticket's ledger.
     Result<LedgerDecision> admit(const Ticket&, const std::string& team);
-    bool burn(const Ticket&);
-    // Also wakes those who wait for it.
+    // As Ledger::refuse(). Returns false if this node does not host the ticket's ledger.
+    bool refuse(const Ticket&);
+    // As Ledger::finish(). Also wakes callers of waitFinished().
     bool finish(const std::string& requestId, RequestOutcome, int httpStatus = 0, const std::string& body = {});
     void setHolder(const std::string& requestId, const std::string& node, std::uint64_t incarnation);
     std::optional<LedgerEntry> find(const std::string& requestId) const;
-    // Waits until the entry is no longer running; empty where it is unknown.
+    // Waits up to `limit` until the request is no longer running, and returns its entry. Empty if the request is unknown.
     std::optional<LedgerEntry> waitFinished(const std::string& requestId, Milliseconds limit);
-    // Errors: Unauthorized, NotFound, as for admit().
+    // Checks that the ticket was issued to the team. Errors: Unauthorized and NotFound, as for admit().
     Status verify(const Ticket&, const std::string& team) const;
 
-    // Marks all ledgers as given and returns the offers. Nothing is admitted here from then on.
-    std::vector<LedgerOfferMessage> giveAll(std::uint32_t generation);
-    void takeBackAll();
+    // Marks all ledgers as transferred and returns an offer of each. From then on no request is admitted here.
+    std::vector<LedgerOfferMessage> startTransferAll(std::uint32_t generation);
+    // Reverts startTransferAll(). Only allowed if no node took any of the ledgers.
+    void cancelTransferAll();
+    // Whether this node's own ledger is marked as transferred.
     bool given() const;
-    // Errors: Exhausted where there are too many. Offering the same one again is harmless.
+    // Adds a ledger offered by another node; does nothing if this node already hosts it. Errors: Exhausted if it hosts too many.
     Status adopt(const LedgerOfferMessage&);
+    // Sets the outcome in an adopted ledger of a request that ended at the sender. Ignored if this node does not host the ledger.
     void applyUpdate(const LedgerUpdateMessage&);
+    // Removes expired entries from all ledgers, as Ledger::expire().
     void expire();
     std::size_t entryCount() const;
 
 private:
-    struct Book {
+    struct HostedLedger {
         std::unique_ptr<TicketIssuer> issuer;
         Ledger ledger;
-        std::uint64_t clockOffset { 0 }; // Added to this node's clock it gives the ledger's.
+        std::uint64_t clockOffset { 0 }; // Milliseconds to add to this node's clock to get the ledger's.
     };
-    using Home = std::pair<std::string, std::uint64_t>;
+    using HomeIncarnation = std::pair<std::string, std::uint64_t>; // Id and incarnation of the node that issued a ledger's tickets.
 
     std::uint64_t now() const;
-    const Book* findBook(const Ticket&) const;
-    Book* findBook(const Ticket&);
-    Book* findBookOf(const std::string& requestId);
+    const HostedLedger* findLedger(const Ticket&) const;
+    HostedLedger* findLedger(const Ticket&);
+    HostedLedger* findLedgerOfRequest(const std::string& requestId);
 
     LedgerBookOptions m_options;
     SteadyTime m_origin {};
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::map<Home, Book> m_books {};
+    std::map<HomeIncarnation, HostedLedger> m_hostedLedgers {};
 };
 
 } // namespace Onyxnotch
--- a/modules/request/model_runner.cpp
+++ b/modules/request/model_runner.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr std::size_t prefixBytes = 512;
+    constexpr std::size_t hashedPrefixBytes = 512;
     constexpr std::size_t bytesPerToken = 4;
     constexpr Milliseconds pollInterval { 50 };
     constexpr Milliseconds maximumBackoff { 500 };
@@ -30,18 +30,18 @@
 
 RequestDigest digestOf(const RequestDescription& description) { return digestOf(description.team, description.service, {}, description.prompt); }
 
-std::uint64_t prefixHashOf(std::string_view prompt) { return fastHash(prompt.substr(0, prefixBytes)); }
+std::uint64_t prefixHashOf(std::string_view prompt) { return fastHash(prompt.substr(0, hashedPrefixBytes)); }
 
-// What one run of a request has tried so far.
+// State of one call of run().
 struct ModelRunner::Progress {
     unsigned attempts { 0 };
     unsigned resumes { 0 };
     std::uint64_t sizeAtResume { 0 };
-    std::set<std::string> excluded; // Endpoints that refused or failed.
+    std::set<std::string> excluded; // Endpoints that refused this request or failed.
     Milliseconds backoff { 0 };
-    std::optional<SteadyTime> waitingSince; // For an endpoint to appear.
+    std::optional<SteadyTime> waitingSince; // Since when no endpoint can be chosen.
     LoadTracker::InFlight inFlight;
-    SteadyTime sentAt {}; // Of the attempt.
+    SteadyTime sentAt {}; // When the current attempt was sent.
 };
 
 ModelRunner::ModelRunner(const ModelRunnerOptions& options, const EndpointDirectory& directory, RetryBudget& retries, SharedSuspects& suspects, Metrics& metrics)
@@ -69,24 +69,24 @@
 
 ModelRunner::Step ModelRunner::attemptOnce(ActiveRequest& request, Progress& progress) const
 {
-    auto interruption = request.takeInterruption();
+    auto interruption = request.consumeInterruption();
     if (interruption == Interruption::Handover) {
-        noteEnded(request);
+        reportAttemptEnded(request);
         return Step::Stop;
     }
     if (interruption == Interruption::Cancelled)
         return finish(request, RequestOutcome::Failed, "cancelled: nobody read the answer");
     if (steadyNow() >= request.deadline())
         return finish(request, request.mayHaveRun() ? RequestOutcome::Failed : RequestOutcome::NotRun, "deadline passed");
-    auto place = request.place();
-    if (place.empty())
+    auto location = request.place();
+    if (location.empty())
         return startAttempt(request, progress);
-    if (interruption == Interruption::EndpointLeaving || m_directory.isLeaving(place.endpoint))
-        return leaveEndpoint(request, progress);
+    if (interruption == Interruption::EndpointLeaving || m_directory.isLeaving(location.endpoint))
+        return moveOffEndpoint(request, progress);
     return resumeAttempt(request, progress);
 }
 
-bool ModelRunner::mayStart(const ActiveRequest& request) const
+bool ModelRunner::isSendingAllowed(const ActiveRequest& request) const
 {
     auto digest = digestOf(request.description());
     return m_suspects.use([&](SuspectBook& book) { return book.maySend(digest, steadyNow()); });
@@ -97,7 +97,7 @@
     const auto& description = request.description();
     if (progress.attempts >= m_options.maximumAttempts)
         return finish(request, request.mayHaveRun() ? RequestOutcome::Failed : RequestOutcome::NotRun, "no endpoint served it after several attempts");
-    if (!mayStart(request))
+    if (!isSendingAllowed(request))
         return finish(request, request.mayHaveRun() ? RequestOutcome::Failed : RequestOutcome::NotRun, "endpoints end under this request");
     auto prefixHash = prefixHashOf(description.prompt);
     auto served = m_directory.servedModel(description.service);
@@ -113,7 +113,7 @@
     };
     auto decision = m_directory.choose(candidates, route);
     if (!decision.candidate) {
-        // Endpoints that failed once get another chance before the request is given up on.
+        // Allow endpoints that failed before to be chosen again, before the request fails for lack of an endpoint.
         progress.excluded.clear();
         if (!progress.waitingSince)
             progress.waitingSince = steadyNow();
@@ -143,56 +143,56 @@
     };
     request.trace(m_options.node, "route", endpoint.id + " in " + endpoint.zone + ": " + decision.reason);
     if (request.mayHaveRun()) {
-        auto again = description.promptTokens + generated;
-        m_metrics.increment("onyxnotch_recomputed_tokens_total", { { "service", description.service } }, again);
-        request.trace(m_options.node, "prefill_again", std::to_string(again) + " tokens");
+        auto recomputedTokens = description.promptTokens + generated;
+        m_metrics.increment("onyxnotch_recomputed_tokens_total", { { "service", description.service } }, recomputedTokens);
+        request.trace(m_options.node, "prefill_again", std::to_string(recomputedTokens) + " tokens");
     }
     request.answer().beginAttempt(start.streamId);
-    request.setPlace({ .attempt = start.streamId, .endpoint = endpoint.id, .address = endpoint.address });
+    request.setLocation({ .attempt = start.streamId, .endpoint = endpoint.id, .address = endpoint.address });
     progress.inFlight = m_directory.loads().begin(endpoint.id, prefixHash, m_directory.expectedPrefill(candidates[*decision.candidate], route), m_directory.gatewayCount());
     m_metrics.increment("onyxnotch_attempts_total", { { "service", description.service } });
 
     EngineStream stream(endpoint.address);
     if (!request.attach(&stream)) {
-        // Interrupted before the first byte left.
+        // Interrupted before anything was sent, so the credit was not used.
         m_directory.loads().giveCreditBack(endpoint.id);
-        request.setPlace({});
+        request.setLocation({});
         return Step::Continue;
     }
-    auto life = fastHash(endpoint.id);
+    auto incarnationId = fastHash(endpoint.id);
     progress.sentAt = steadyNow();
-    m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(description), life, zoneHash(endpoint.zone)); });
+    m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(description), incarnationId, zoneHash(endpoint.zone)); });
     stream.onHead([&](std::optional<double> limit) { m_directory.loads().namedLimit(endpoint.id, limit, progress.sentAt, m_directory.gatewayCount()); });
     auto end = stream.start(start, [&](const EngineEvent& event) { return receive(request, start.streamId, event); });
     request.detach();
-    if (auto rest = stream.askedRest())
-        m_directory.loads().askedRest(endpoint.id, *rest);
-    return afterStream(request, progress, end);
+    if (auto requestedBackoff = stream.askedRest())
+        m_directory.loads().askedRest(endpoint.id, *requestedBackoff);
+    return onStreamEnd(request, progress, end);
 }
 
 ModelRunner::Step ModelRunner::resumeAttempt(ActiveRequest& request, Progress& progress) const
 {
-    auto place = request.place();
+    auto location = request.place();
     auto size = request.answer().size();
     if (size > progress.sizeAtResume)
         progress.resumes = 0;
     progress.sizeAtResume = size;
     if (++progress.resumes > m_options.maximumResumes) {
-        loseEngine(request, progress, "the engine could not be reached again");
+        onEngineLost(request, progress, "the engine could not be reached again");
         return Step::Continue;
     }
     if (progress.resumes > 1)
         std::this_thread::sleep_for(jittered(m_options.firstBackoff));
-    EngineStream stream(place.address);
+    EngineStream stream(location.address);
     if (!request.attach(&stream))
         return Step::Continue;
     m_metrics.increment("onyxnotch_resumes_total", { { "service", request.description().service } });
-    auto end = stream.resume(place.attempt, size, [&](const EngineEvent& event) { return receive(request, place.attempt, event); });
+    auto end = stream.resume(location.attempt, size, [&](const EngineEvent& event) { return receive(request, location.attempt, event); });
     request.detach();
-    // A resume that was never sent leaves the stream where it was.
+    // The resume was never sent or was refused: the stream may still run at the engine, so another resume is tried.
     if (end == EngineStreamEnd::NotStarted)
         end = EngineStreamEnd::Lost;
-    return afterStream(request, progress, end);
+    return onStreamEnd(request, progress, end);
 }
 
 EventVerdict ModelRunner::receive(ActiveRequest& request, const std::string& attempt, const EngineEvent& event) const
@@ -203,17 +203,17 @@
     }
     if (event.moved || steadyNow() >= request.deadline())
         return EventVerdict::Stop;
-    // An end at another offset than ours is not the end of what we have: read the rest first.
+    // A final offset other than the size of the answer means that text is missing: stop, and resume to read it first.
     if (event.end)
         return event.offset == request.answer().size() ? EventVerdict::Take : EventVerdict::Stop;
     auto result = request.answer().append(attempt, event.offset, event.text);
     switch (result) {
-    case AppendResult::Taken:
+    case AppendResult::Appended:
         return EventVerdict::Take;
-    case AppendResult::Repeated:
+    case AppendResult::Duplicate:
         m_metrics.increment("onyxnotch_frames_dropped_total", { { "reason", "repeated" } });
         return EventVerdict::Drop;
-    case AppendResult::NotLive:
+    case AppendResult::NotCurrent:
     case AppendResult::Gap:
     case AppendResult::Finished:
         m_metrics.increment("onyxnotch_frames_dropped_total", { { "reason", result == AppendResult::Gap ? "gap" : "not_live" } });
@@ -222,31 +222,31 @@
     return EventVerdict::Stop;
 }
 
-ModelRunner::Step ModelRunner::afterStream(ActiveRequest& request, Progress& progress, EngineStreamEnd end) const
+ModelRunner::Step ModelRunner::onStreamEnd(ActiveRequest& request, Progress& progress, EngineStreamEnd end) const
 {
     switch (end) {
     case EngineStreamEnd::Completed: {
-        auto life = fastHash(request.place().endpoint);
-        m_suspects.use([&](SuspectBook& book) { book.onAnswered(digestOf(request.description()), life, progress.sentAt, steadyNow()); });
+        auto incarnationId = fastHash(request.place().endpoint);
+        m_suspects.use([&](SuspectBook& book) { book.onAnswered(digestOf(request.description()), incarnationId, progress.sentAt, steadyNow()); });
         m_directory.loads().onTaken(request.place().endpoint);
         return finish(request, RequestOutcome::Completed, "answer whole");
     }
     case EngineStreamEnd::NotStarted: {
         auto endpoint = request.place().endpoint;
-        noteEnded(request);
+        reportAttemptEnded(request);
         m_directory.loads().onTurnedAway(endpoint);
         progress.excluded.insert(endpoint);
-        request.setPlace({});
+        request.setLocation({});
         request.trace(m_options.node, "refused", endpoint + " did not start it");
         std::this_thread::sleep_for(jittered(progress.backoff));
         progress.backoff = std::min(progress.backoff * 2, maximumBackoff);
         return Step::Continue;
     }
     case EngineStreamEnd::Lost:
-        request.noteMayHaveRun();
+        request.markMayHaveRun();
         return Step::Continue;
     case EngineStreamEnd::Gone:
-        loseEngine(request, progress, "the engine does not know the stream");
+        onEngineLost(request, progress, "the engine does not know the stream");
         return Step::Continue;
     case EngineStreamEnd::WrongOffset:
         abandonAttempt(request, progress, "the engine has no such offset");
@@ -255,53 +255,53 @@
     return Step::Continue;
 }
 
-// It runs no more where it was, for reasons of ours.
-void ModelRunner::noteEnded(const ActiveRequest& request) const
+// Reports to the suspect tracker that the request no longer runs at its endpoint, for a reason that does not speak against the request.
+void ModelRunner::reportAttemptEnded(const ActiveRequest& request) const
 {
-    auto life = fastHash(request.place().endpoint);
-    m_suspects.use([&](SuspectBook& book) { book.onEnded(digestOf(request.description()), life); });
+    auto incarnationId = fastHash(request.place().endpoint);
+    m_suspects.use([&](SuspectBook& book) { book.onEnded(digestOf(request.description()), incarnationId); });
 }
 
-void ModelRunner::loseEngine(ActiveRequest& request, Progress& progress, const std::string& reason) const
+void ModelRunner::onEngineLost(ActiveRequest& request, Progress& progress, const std::string& reason) const
 {
-    auto place = request.place();
-    // An engine that is leaving ends without anybody's fault.
-    if (!m_directory.isLeaving(place.endpoint))
-        m_suspects.use([&](SuspectBook& book) { book.onLost(digestOf(request.description()), fastHash(place.endpoint), steadyNow()); });
+    auto location = request.place();
+    // The end of a draining engine is expected, so it is not blamed on the request.
+    if (!m_directory.isLeaving(location.endpoint))
+        m_suspects.use([&](SuspectBook& book) { book.onLost(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
     abandonAttempt(request, progress, reason);
 }
 
 void ModelRunner::abandonAttempt(ActiveRequest& request, Progress& progress, const std::string& reason) const
 {
-    auto place = request.place();
-    noteEnded(request);
-    request.trace(m_options.node, "abandon", place.endpoint + ": " + reason);
-    logEvent(LogLevel::Info, "attempt_abandoned", { { "request_id", request.description().id }, { "endpoint", place.endpoint }, { "reason", reason } });
-    progress.excluded.insert(place.endpoint);
-    request.noteMayHaveRun();
-    request.setPlace({});
-    // Best effort: an engine that still runs it would waste its slots.
-    (void)EngineClient(place.address).cancel(place.attempt);
+    auto location = request.place();
+    reportAttemptEnded(request);
+    request.trace(m_options.node, "abandon", location.endpoint + ": " + reason);
+    logEvent(LogLevel::Info, "attempt_abandoned", { { "request_id", request.description().id }, { "endpoint", location.endpoint }, { "reason", reason } });
+    progress.excluded.insert(location.endpoint);
+    request.markMayHaveRun();
+    request.setLocation({});
+    // Best effort: if the engine still runs the attempt, this frees its slot.
+    (void)EngineClient(location.address).cancel(location.attempt);
 }
 
-ReclaimDecision ModelRunner::planFor(const ActiveRequest& request, double transfersAhead) const
+ReclaimDecision ModelRunner::planFor(const ActiveRequest& request, double concurrentTransfers) const
 {
-    auto place = request.place();
-    auto left = m_directory.timeLeft(place.endpoint);
+    auto location = request.place();
+    auto untilEnd = m_directory.timeLeft(location.endpoint);
     auto generated = request.answer().tokens();
     const auto& description = request.description();
     auto remaining = description.maximumTokens - std::min(generated, description.maximumTokens);
-    // Without a deadline, as on an operator's drain, nothing hurries: the stream ends where it is.
-    if (!left)
+    // Without a deadline, as for a drain by an operator, the stream can finish where it is.
+    if (!untilEnd)
         return { .action = ReclaimAction::Stay, .reason = "no deadline is known" };
-    return planReclaim({ .timeLeft = *left, .contextTokens = description.promptTokens + generated, .remainingTokens = remaining, .transfersAhead = transfersAhead }, m_options.reclaim);
+    return planReclaim({ .timeLeft = *untilEnd, .contextTokens = description.promptTokens + generated, .remainingTokens = remaining, .concurrentTransfers = concurrentTransfers }, m_options.reclaim);
 }
 
-ModelRunner::Step ModelRunner::leaveEndpoint(ActiveRequest& request, Progress& progress) const
+ModelRunner::Step ModelRunner::moveOffEndpoint(ActiveRequest& request, Progress& progress) const
 {
     auto decision = planFor(request, 0);
-    auto place = request.place();
-    request.trace(m_options.node, "endpoint_leaving", place.endpoint + ": " + toString(decision.action) + ", " + decision.reason);
+    auto location = request.place();
+    request.trace(m_options.node, "endpoint_leaving", location.endpoint + ": " + toString(decision.action) + ", " + decision.reason);
     m_metrics.increment("onyxnotch_reclaim_actions_total", { { "action", toString(decision.action) } });
     if (decision.action == ReclaimAction::Stay)
         return resumeAttempt(request, progress);
@@ -309,8 +309,8 @@
         const auto& description = request.description();
         auto candidates = m_directory.candidates(description.service, prefixHashOf(description.prompt), progress.excluded);
         auto choice = m_directory.choose(candidates, { .promptTokens = 0, .expectedTokens = description.maximumTokens });
-        bool mayMove = choice.candidate && m_directory.loads().takeCredit(candidates[*choice.candidate].endpoint.id);
-        if (mayMove && transferCache(request, candidates[*choice.candidate].endpoint)) {
+        bool hasCredit = choice.candidate && m_directory.loads().takeCredit(candidates[*choice.candidate].endpoint.id);
+        if (hasCredit && transferCache(request, candidates[*choice.candidate].endpoint)) {
             progress.resumes = 0;
             progress.inFlight = m_directory.loads().begin(candidates[*choice.candidate].endpoint.id, prefixHashOf(description.prompt), 0, 1);
             return Step::Continue;
@@ -322,16 +322,16 @@
 
 bool ModelRunner::transferCache(ActiveRequest& request, const Endpoint& target) const
 {
-    auto place = request.place();
-    auto left = m_directory.timeLeft(place.endpoint).value_or(Milliseconds(0));
-    auto imported = EngineClient(target.address).importStream(place.attempt, place.address, std::max(left, pollInterval));
+    auto location = request.place();
+    auto untilEnd = m_directory.timeLeft(location.endpoint).value_or(Milliseconds(0));
+    auto imported = EngineClient(target.address).importStream(location.attempt, location.address, std::max(untilEnd, pollInterval));
     if (!imported) {
         request.trace(m_options.node, "transfer_failed", imported.error().message);
         return false;
     }
-    noteEnded(request);
+    reportAttemptEnded(request);
     m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(request.description()), fastHash(target.id), zoneHash(target.zone)); });
-    request.setPlace({ .attempt = place.attempt, .endpoint = target.id, .address = target.address });
+    request.setLocation({ .attempt = location.attempt, .endpoint = target.id, .address = target.address });
     request.trace(m_options.node, "transfer_cache", std::to_string(imported.value()) + " tokens to " + target.id);
     m_metrics.increment("onyxnotch_transferred_tokens_total", {}, static_cast<double>(imported.value()));
     return true;
@@ -339,14 +339,14 @@
 
 ModelRunner::Step ModelRunner::finish(ActiveRequest& request, RequestOutcome outcome, const std::string& reason) const
 {
-    auto place = request.place();
-    if (outcome != RequestOutcome::Completed && !place.empty()) {
-        m_suspects.use([&](SuspectBook& book) { book.onLeft(digestOf(request.description()), fastHash(place.endpoint), steadyNow()); });
-        (void)EngineClient(place.address).cancel(place.attempt);
+    auto location = request.place();
+    if (outcome != RequestOutcome::Completed && !location.empty()) {
+        m_suspects.use([&](SuspectBook& book) { book.onLeft(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
+        (void)EngineClient(location.address).cancel(location.attempt);
     }
     request.trace(m_options.node, toString(outcome), reason);
     request.answer().finish(outcome);
-    request.noteFinished();
+    request.markFinished();
     return Step::Stop;
 }
 
--- a/modules/request/plain_call.cpp
+++ b/modules/request/plain_call.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    // With status 503: the endpoint's positive word that it has not started the call.
+    // Response header by which an endpoint, with status 503, states that it has not started the call.
     constexpr auto notStartedHeader = "onyxnotch-not-started";
 
 } // namespace
@@ -59,12 +59,12 @@
         }
         tried.insert(chosen->id);
         auto inFlight = m_directory.loads().begin(chosen->id, 0, 0, 1);
-        auto answer = trySuspected(request, *chosen, deadline);
+        auto answer = tryAndReport(request, *chosen, deadline);
         if (!answer) {
             reason = "no endpoint could be reached";
             continue;
         }
-        if (answer->outcome != RequestOutcome::Unknown || !request.repeatable || m_givenUp)
+        if (answer->outcome != RequestOutcome::Unknown || !request.repeatable || m_isAbandoned)
             return *answer;
         mayHaveRun = true;
         reason = answer->reason;
@@ -72,7 +72,6 @@
     return { .outcome = mayHaveRun ? RequestOutcome::Unknown : RequestOutcome::NotRun, .reason = reason };
 }
 
-// The one with the fewest calls of this node, of those that still take one.
 std::optional<PlainEndpoint> PlainCall::chooseWithCredit(std::vector<PlainEndpoint> endpoints) const
 {
     auto load = [this](const PlainEndpoint& it) { return m_directory.loads().load(it.id, 0).ownInFlight; };
@@ -81,23 +80,24 @@
     return it == endpoints.end() ? std::nullopt : std::optional(*it);
 }
 
-// A call whose outcome is unknown may have ended its endpoint; whether it did, good answers tell.
-std::optional<PlainAnswer> PlainCall::trySuspected(const PlainRequest& request, const PlainEndpoint& endpoint, SteadyTime deadline)
+// A call with an unknown outcome may have crashed its endpoint, so it is reported as lost. Successful (2xx) answers to the same request
+// speak against that.
+std::optional<PlainAnswer> PlainCall::tryAndReport(const PlainRequest& request, const PlainEndpoint& endpoint, SteadyTime deadline)
 {
     auto digest = digestOf(request.team, request.service, request.path, request.body);
-    auto life = fastHash(endpoint.id);
+    auto incarnationId = fastHash(endpoint.id);
     auto sentAt = steadyNow();
-    m_suspects.use([&](SuspectBook& book) { book.onSent(digest, life, zoneHash(endpoint.zone)); });
+    m_suspects.use([&](SuspectBook& book) { book.onSent(digest, incarnationId, zoneHash(endpoint.zone)); });
     auto answer = tryEndpoint(request, endpoint, deadline);
     bool isGood = answer && answer->outcome == RequestOutcome::Completed && answer->httpStatus / 100 == 2;
-    bool isLost = answer && answer->outcome == RequestOutcome::Unknown && !m_givenUp && steadyNow() < deadline;
+    bool isLost = answer && answer->outcome == RequestOutcome::Unknown && !m_isAbandoned && steadyNow() < deadline;
     m_suspects.use([&](SuspectBook& book) {
         if (isGood)
-            book.onAnswered(digest, life, sentAt, steadyNow());
+            book.onAnswered(digest, incarnationId, sentAt, steadyNow());
         else if (isLost)
-            book.onLost(digest, life, steadyNow());
+            book.onLost(digest, incarnationId, steadyNow());
         else
-            book.onEnded(digest, life);
+            book.onEnded(digest, incarnationId);
     });
     return answer;
 }
@@ -107,18 +107,18 @@
     HttpStream stream(endpoint.address);
     {
         std::lock_guard lock(m_mutex);
-        if (m_givenUp)
+        if (m_isAbandoned)
             return std::nullopt;
         m_stream = &stream;
     }
-    auto left = std::max(Milliseconds(1), toMilliseconds(deadline - steadyNow()));
+    auto untilDeadline = std::max(Milliseconds(1), toMilliseconds(deadline - steadyNow()));
     HttpCall call {
         .method = request.method,
         .path = request.path,
         .headers = { { "Idempotency-Key", request.id } },
         .body = request.body,
         .contentType = request.contentType,
-        .readTimeout = std::min(m_options.silenceLimit, left),
+        .readTimeout = std::min(m_options.silenceLimit, untilDeadline),
     };
     auto sentAt = steadyNow();
     PlainAnswer answer { .outcome = RequestOutcome::Completed };
@@ -127,8 +127,8 @@
     auto onHeaders = [&](const HttpReply& reply) {
         answer.httpStatus = reply.status;
         answer.contentType = reply.header("content-type");
-        if (auto rest = HttpStatus::turnsAway(reply.status) ? parseRetryAfter(reply.header("retry-after")) : std::nullopt)
-            m_directory.loads().askedRest(endpoint.id, *rest);
+        if (auto requestedBackoff = HttpStatus::turnsAway(reply.status) ? parseRetryAfter(reply.header("retry-after")) : std::nullopt)
+            m_directory.loads().askedRest(endpoint.id, *requestedBackoff);
         m_directory.loads().namedLimit(endpoint.id, namedLimit(reply), sentAt, m_directory.gatewayCount());
         notStarted = reply.status == HttpStatus::serviceUnavailable && !reply.header(notStartedHeader).empty();
         return true;
@@ -159,7 +159,7 @@
 void PlainCall::giveUp()
 {
     std::lock_guard lock(m_mutex);
-    m_givenUp = true;
+    m_isAbandoned = true;
     if (m_stream)
         m_stream->cancel();
 }
--- a/modules/request/plain_call.h
+++ b/modules/request/plain_call.h
@@ -1,4 +1,5 @@
-// A call to a plain service: forwarded once where it may not be repeated, retried within limits where it may.
+// Forwards a call to an endpoint of a plain service. A call that may not be repeated is sent again only if the endpoint certainly did not
+// start it; a repeatable one is retried within the attempt limit and the node's retry budget.
 #pragma once
 
 #include "core/metrics.h"
@@ -16,7 +17,7 @@
     std::string team {};
     std::string service {};
     std::string method {};
-    std::string path {}; // Within the service, with a leading slash.
+    std::string path {}; // Path within the service, with a leading slash.
     std::string body {};
     std::string contentType {};
     bool repeatable { false };
@@ -29,31 +30,35 @@
     int httpStatus { 0 };
     std::string contentType {};
     std::string body {};
-    std::string reason {}; // Where it is not completed.
+    std::string reason {}; // Why there is no completed answer.
 
     bool operator==(const PlainAnswer&) const = default;
 };
 
 struct PlainCallOptions {
-    Milliseconds silenceLimit { 30000 }; // Between two arrivals of bytes from the endpoint.
+    Milliseconds silenceLimit { 30000 }; // Maximum time without receiving a byte from the endpoint.
     std::size_t maximumAnswerBytes { 16U << 20U };
     unsigned maximumAttempts { 4 };
-    Milliseconds firstBackoff { 20 };
+    Milliseconds firstBackoff { 20 }; // Delay before the second attempt; doubled before each further one.
 };
 
-// One call in progress. Another thread may give up on it, which leaves its outcome unknown.
+// One call in progress. Another thread may abandon it with giveUp(); its outcome is then unknown if it may have been executed.
 class PlainCall {
 public:
     PlainCall(const PlainCallOptions&, const EndpointDirectory&, RetryBudget&, SharedSuspects&, Metrics&);
 
+    // Blocks until there is an answer, or until no further attempt is allowed.
     PlainAnswer run(const PlainRequest&, SteadyTime deadline);
-    // Ends run() soon.
+    // Cancels the attempt in progress, so that run() returns soon. Called by another thread.
     void giveUp();
 
 private:
-    // Empty where the endpoint certainly did not start it, so that another one may be tried.
+    // Chooses the endpoint with the fewest calls of this node in flight, of those that have a credit left, and takes the credit. Empty if
+    // none has one.
     std::optional<PlainEndpoint> chooseWithCredit(std::vector<PlainEndpoint>) const;
-    std::optional<PlainAnswer> trySuspected(const PlainRequest&, const PlainEndpoint&, SteadyTime deadline);
+    // As tryEndpoint(), and reports to the suspect tracker how the call ended.
+    std::optional<PlainAnswer> tryAndReport(const PlainRequest&, const PlainEndpoint&, SteadyTime deadline);
+    // Sends the call to one endpoint. Empty if the endpoint certainly did not start it, so that another one may be tried.
     std::optional<PlainAnswer> tryEndpoint(const PlainRequest&, const PlainEndpoint&, SteadyTime deadline);
 
     PlainCallOptions m_options;
@@ -63,7 +68,7 @@
     Metrics& m_metrics;
     std::mutex m_mutex;
     HttpStream* m_stream { nullptr };
-    bool m_givenUp { false };
+    bool m_isAbandoned { false };
 };
 
 } // namespace Onyxnotch
--- a/modules/request/reclaim_plan.cpp
+++ b/modules/request/reclaim_plan.cpp
@@ -19,12 +19,12 @@
 {
     if (!options.movesAllowed)
         return { .action = ReclaimAction::PrefillAgain, .reason = "settings allow nothing else" };
-    double left = std::chrono::duration<double>(situation.timeLeft).count();
-    double toEnd = options.safety * situation.remainingTokens * options.tokenSeconds;
-    if (toEnd <= left)
+    double secondsLeft = std::chrono::duration<double>(situation.timeLeft).count();
+    double secondsToFinish = options.safetyFactor * situation.remainingTokens * options.tokenSeconds;
+    if (secondsToFinish <= secondsLeft)
         return { .action = ReclaimAction::Stay, .reason = "the rest of the answer takes less time than is left" };
-    double transfer = options.transferSetupSeconds + situation.contextTokens / options.transferTokensPerSecond;
-    if (options.safety * transfer * (1 + situation.transfersAhead) <= left)
+    double transferSeconds = options.transferSetupSeconds + situation.contextTokens / options.transferTokensPerSecond;
+    if (options.safetyFactor * transferSeconds * (1 + situation.concurrentTransfers) <= secondsLeft)
         return { .action = ReclaimAction::TransferCache, .reason = "the KV cache can be moved in the time left" };
     return { .action = ReclaimAction::PrefillAgain, .reason = "too little time is left to move the KV cache" };
 }
--- a/modules/request/reclaim_plan.h
+++ b/modules/request/reclaim_plan.h
@@ -1,4 +1,4 @@
-// What to do with a stream whose engine is leaving: a pure decision from the time left and the work at stake.
+// Decides what to do with a stream whose engine is draining, from the time left and the cost of moving the stream. A pure function.
 #pragma once
 
 #include "core/clock.h"
@@ -7,28 +7,28 @@
 namespace Onyxnotch {
 
 enum class ReclaimAction {
-    Stay, // The stream ends before the engine does.
-    TransferCache, // Another engine takes the KV cache over and goes on; nothing is computed again.
-    PrefillAgain, // Another engine prefills the prompt and the text so far.
+    Stay, // Leave the stream where it is: it is expected to end before the engine does.
+    TransferCache, // Another engine imports the KV cache and continues the stream; nothing is computed again.
+    PrefillAgain, // Another engine prefills the prompt and the text generated so far, and continues.
 };
 
 std::string toString(ReclaimAction);
 
 struct ReclaimSituation {
-    Milliseconds timeLeft { 0 }; // Until the engine ends.
-    unsigned contextTokens { 0 }; // Prompt and text so far.
-    unsigned remainingTokens { 0 }; // At most still to be generated.
-    double transfersAhead { 0 }; // Other streams that leave the same engine.
+    Milliseconds timeLeft { 0 }; // Time until the engine ends.
+    unsigned contextTokens { 0 }; // Prompt and text generated so far.
+    unsigned remainingTokens { 0 }; // Maximum number of tokens still to be generated.
+    double concurrentTransfers { 0 }; // Other streams that are moved off the same engine.
 
     bool operator==(const ReclaimSituation&) const = default;
 };
 
 struct ReclaimOptions {
-    double tokenSeconds { 0.079 }; // Between two tokens, at the worst that the objective allows.
-    double transferTokensPerSecond { 200000 }; // KV cache over the network, as tokens.
-    double transferSetupSeconds { 0.05 };
-    bool movesAllowed { true }; // False: always prefill again, the baseline.
-    double safety { 1.5 }; // Factor on every estimate.
+    double tokenSeconds { 0.079 }; // Time between two tokens: the longest that the objective allows.
+    double transferTokensPerSecond { 200000 }; // Transfer rate of KV cache between engines, in tokens of context.
+    double transferSetupSeconds { 0.05 }; // Fixed time of one transfer.
+    bool movesAllowed { true }; // If false, always prefill again: a baseline for measurements.
+    double safetyFactor { 1.5 }; // Factor by which every estimated time is multiplied.
 };
 
 struct ReclaimDecision {
--- a/modules/request/request_outcome.h
+++ b/modules/request/request_outcome.h
@@ -1,4 +1,4 @@
-// How a request can end, and how that is said to callers.
+// Outcomes of a request, and the error body that reports them to clients.
 #pragma once
 
 #include "core/clock.h"
@@ -9,28 +9,28 @@
 namespace Onyxnotch {
 
 enum class RequestOutcome : std::uint8_t {
-    Running, // No answer yet.
+    Running, // No final outcome yet.
     Completed,
-    NotRun, // No part of it ran, and none will under this request id.
-    Failed, // It ran, and its answer is an error.
-    Unknown, // It may have run.
+    NotRun, // No part of the request was executed, and none will be under this request id.
+    Failed, // The request was executed, and its answer is an error.
+    Unknown, // The request may have been executed.
 };
 
 std::string toString(RequestOutcome);
 
-// A final answer other than a completed one.
+// Final answer to a request that did not complete.
 struct RequestError {
     RequestOutcome outcome { RequestOutcome::Failed };
     int httpStatus { 500 };
     std::string reason {};
-    Milliseconds retryAfter { 0 }; // When to come back; 0 where coming back makes no sense.
-    std::vector<std::string> addresses {}; // Where to go instead; may be empty.
-    std::string ticket {}; // A fresh one, where the request needs one.
+    Milliseconds retryAfter { 0 }; // When the client should retry; 0 if a retry makes no sense.
+    std::vector<std::string> addresses {}; // Gateways to use instead; may be empty.
+    std::string ticket {}; // A new ticket, if the request needs one.
 
     bool operator==(const RequestError&) const = default;
 };
 
-// The JSON body that callers get.
+// JSON body of an error response to a client. Fields that are empty or 0 are left out.
 std::string errorBody(const RequestError&, const std::string& requestId);
 
 } // namespace Onyxnotch
--- a/modules/request/request_table.h
+++ b/modules/request/request_table.h
@@ -1,4 +1,4 @@
-// The requests that this node runs, or ran lately enough to be asked for again. Thread safe.
+// Requests that this node runs, or that ended so recently that clients may still read their answers. Thread safe.
 #pragma once
 
 #include "modules/request/active_request.h"
@@ -11,22 +11,22 @@
 
 class RequestTable {
 public:
-    // Returns false where there is one with that id already.
+    // Returns false and adds nothing if there is a request with the same id.
     bool add(const std::shared_ptr<ActiveRequest>&);
     std::shared_ptr<ActiveRequest> find(const std::string& id) const;
     void remove(const std::string& id);
     std::vector<std::shared_ptr<ActiveRequest>> all() const;
-    // Those without a final outcome that have not moved away.
-    std::size_t runningCount() const { return m_running; }
-    void noteStarted() { ++m_running; }
-    void noteEnded() { --m_running; }
-    // Drops requests that ended more than `retention` ago.
+    // Number of requests that are being executed here, as counted by noteStarted() and noteEnded().
+    std::size_t runningCount() const { return m_runningCount; }
+    void noteStarted() { ++m_runningCount; }
+    void noteEnded() { --m_runningCount; }
+    // Removes requests that ended more than `retention` before `now`.
     void expire(SteadyTime now, Milliseconds retention);
 
 private:
     mutable std::mutex m_mutex;
     std::map<std::string, std::shared_ptr<ActiveRequest>> m_requests {};
-    std::atomic<std::size_t> m_running { 0 };
+    std::atomic<std::size_t> m_runningCount { 0 };
 };
 
 } // namespace Onyxnotch
--- a/modules/request/ticket.cpp
+++ b/modules/request/ticket.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // Allowed in URLs and headers, and in no instance id.
+    // Allowed in URLs and HTTP headers, and never part of an instance id.
     constexpr char separator = '~';
     constexpr std::size_t partCount = 5;
     constexpr std::size_t maximumTextBytes = 512;
@@ -20,14 +20,14 @@
         return ec == std::errc() && end == text.data() + text.size();
     }
 
-    std::string unsignedText(const Ticket& ticket)
+    std::string textWithoutMac(const Ticket& ticket)
     {
         return ticket.node + separator + std::to_string(ticket.incarnation) + separator + std::to_string(ticket.sequence) + separator + std::to_string(ticket.expiry);
     }
 
 } // namespace
 
-std::string Ticket::text() const { return unsignedText(*this) + separator + code; }
+std::string Ticket::text() const { return textWithoutMac(*this) + separator + mac; }
 
 Result<Ticket> parseTicket(const std::string& text)
 {
@@ -35,19 +35,19 @@
     if (text.size() > maximumTextBytes)
         return malformed;
     std::vector<std::string_view> parts;
-    std::string_view rest = text;
-    for (auto end = rest.find(separator); end != std::string_view::npos; end = rest.find(separator)) {
-        parts.push_back(rest.substr(0, end));
-        rest.remove_prefix(end + 1);
+    std::string_view remaining = text;
+    for (auto end = remaining.find(separator); end != std::string_view::npos; end = remaining.find(separator)) {
+        parts.push_back(remaining.substr(0, end));
+        remaining.remove_prefix(end + 1);
     }
-    parts.push_back(rest);
+    parts.push_back(remaining);
     Ticket ticket;
     if (parts.size() != partCount || parts[0].empty())
         return malformed;
     if (!readNumber(parts[1], ticket.incarnation) || !readNumber(parts[2], ticket.sequence) || !readNumber(parts[3], ticket.expiry))
         return malformed;
     ticket.node = parts[0];
-    ticket.code = parts[4];
+    ticket.mac = parts[4];
     return ticket;
 }
 
@@ -59,22 +59,22 @@
 {
 }
 
-std::string TicketIssuer::codeOf(const Ticket& ticket, const std::string& team) const
+std::string TicketIssuer::computeMac(const Ticket& ticket, const std::string& team) const
 {
-    return shortMacHex(m_key, unsignedText(ticket) + separator + team);
+    return shortMacHex(m_key, textWithoutMac(ticket) + separator + team);
 }
 
 Ticket TicketIssuer::issue(const std::string& team, std::uint64_t expiry)
 {
     Ticket ticket { .node = m_node, .incarnation = m_incarnation, .sequence = m_nextSequence++, .expiry = expiry };
-    ticket.code = codeOf(ticket, team);
+    ticket.mac = computeMac(ticket, team);
     return ticket;
 }
 
 bool TicketIssuer::verify(const Ticket& ticket, const std::string& team) const
 {
-    bool own = ticket.node == m_node && ticket.incarnation == m_incarnation;
-    return own && equalInConstantTime(ticket.code, codeOf(ticket, team));
+    bool isOwn = ticket.node == m_node && ticket.incarnation == m_incarnation;
+    return isOwn && equalInConstantTime(ticket.mac, computeMac(ticket, team));
 }
 
 } // namespace Onyxnotch
--- a/modules/request/ticket.h
+++ b/modules/request/ticket.h
@@ -1,5 +1,6 @@
-// Tickets: single-use request ids that name the one node that may run the request. A node hands them out without storing
-// anything, and recognises its own by a message authentication code.
+// Tickets: single-use request ids. A ticket contains the id of the node that issued it, its home. Only the home, or the node that took over
+// its ledger, decides whether the request may run. A node stores nothing when it issues a ticket; it recognizes its own tickets by a
+// message authentication code (MAC).
 #pragma once
 
 #include "core/outcome.h"
@@ -10,26 +11,26 @@
 namespace Onyxnotch {
 
 struct Ticket {
-    std::string node {}; // The home: the node that issued it.
-    std::uint64_t incarnation { 0 }; // Of the home.
-    std::uint64_t sequence { 0 }; // Rises with each ticket of the home.
-    std::uint64_t expiry { 0 }; // Milliseconds on the home's ledger clock.
-    std::string code {}; // Binds all of this to the team.
+    std::string node {}; // Home of the ticket: the node that issued it.
+    std::uint64_t incarnation { 0 }; // Incarnation of the home.
+    std::uint64_t sequence { 0 }; // Increases with each ticket that the home issues.
+    std::uint64_t expiry { 0 }; // Milliseconds on the clock of the home's ledger.
+    std::string mac {}; // MAC over the fields above and the team, so that only this team can use the ticket.
 
     bool operator==(const Ticket&) const = default;
     std::string text() const;
 };
 
-// Errors: InvalidArgument where the text is no ticket.
+// Parses the text form of a ticket; does not check its MAC. Errors: InvalidArgument if the text is not a ticket.
 Result<Ticket> parseTicket(const std::string& text);
 
-// Signs and checks the tickets of one incarnation of a node. Moves with the ledger to a successor.
+// Issues and verifies the tickets of one node incarnation. Its key is transferred to a successor along with the ledger.
 class TicketIssuer {
 public:
     TicketIssuer(std::string node, std::uint64_t incarnation, std::string key, std::uint64_t firstSequence = 1);
 
     Ticket issue(const std::string& team, std::uint64_t expiry);
-    // Whether this issuer's key signed it for that team.
+    // Whether the ticket was issued to `team` by this node incarnation, with this issuer's key.
     bool verify(const Ticket&, const std::string& team) const;
 
     const std::string& node() const { return m_node; }
@@ -38,7 +39,7 @@
     std::uint64_t nextSequence() const { return m_nextSequence; }
 
 private:
-    std::string codeOf(const Ticket&, const std::string& team) const;
+    std::string computeMac(const Ticket&, const std::string& team) const;
 
     std::string m_node {};
     std::uint64_t m_incarnation;
--- a/tests/modules/request/test_answer_buffer.cpp
+++ b/tests/modules/request/test_answer_buffer.cpp
@@ -5,32 +5,33 @@
 
 BOOST_AUTO_TEST_SUITE(AnswerBuffers)
 
-// Late, crossed, repeated and out-of-order pieces of two attempts: the text is always a prefix of the one answer.
+// Appends random pieces of text: repeated, out of order, and late ones from an attempt that is not the current one. The buffered text must
+// always be a prefix of the complete answer.
 BOOST_AUTO_TEST_CASE(any_order_of_pieces_leaves_a_prefix_of_the_answer)
 {
     Tests::checkProperty("random pieces", [](const std::vector<std::pair<unsigned char, unsigned char>>& events) {
-        const std::string whole = "the whole answer, never another caller's";
+        const std::string completeAnswer = "the whole answer, never another caller's";
         AnswerBuffer buffer;
         buffer.beginAttempt("first");
-        std::string live = "first";
-        for (const auto& [where, how] : events) {
-            auto offset = where % whole.size();
-            auto size = how % 9;
-            if (how % 17 == 0) {
-                live = live == "first" ? "second" : "first";
-                buffer.beginAttempt(live);
+        std::string currentAttempt = "first";
+        for (const auto& [offsetDraw, sizeDraw] : events) {
+            auto offset = offsetDraw % completeAnswer.size();
+            auto size = sizeDraw % 9;
+            if (sizeDraw % 17 == 0) {
+                currentAttempt = currentAttempt == "first" ? "second" : "first";
+                buffer.beginAttempt(currentAttempt);
             }
-            bool late = how % 3 == 0;
-            auto attempt = late ? (live == "first" ? "second" : "first") : live;
-            auto text = late ? std::string("STRANGER") : whole.substr(offset, size);
+            bool isLate = sizeDraw % 3 == 0;
+            auto attempt = isLate ? (currentAttempt == "first" ? "second" : "first") : currentAttempt;
+            auto text = isLate ? std::string("STRANGER") : completeAnswer.substr(offset, size);
             auto result = buffer.append(attempt, offset, text);
-            RC_ASSERT(!late || result == AppendResult::NotLive);
-            RC_ASSERT(whole.rfind(buffer.text(), 0) == 0);
+            RC_ASSERT(!isLate || result == AppendResult::NotCurrent);
+            RC_ASSERT(completeAnswer.rfind(buffer.text(), 0) == 0);
         }
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_goes_on_only_in_the_text_that_it_read)
+BOOST_AUTO_TEST_CASE(a_reader_can_resume_only_in_the_text_of_its_attempt)
 {
     AnswerBuffer buffer;
     buffer.beginAttempt("a");
@@ -41,7 +42,7 @@
     BOOST_CHECK(buffer.continues("a", 2));
     BOOST_CHECK(buffer.continues("b", 8));
     BOOST_CHECK(buffer.continues("", 0));
-    // It read on in attempt a, whose text after offset 4 is not part of this answer.
+    // Offset 6 of attempt "a" lies after the start of attempt "b" at offset 4, so that text of "a" is not part of this answer.
     BOOST_CHECK(!buffer.continues("a", 6));
     BOOST_CHECK(!buffer.continues("b", 3));
     BOOST_CHECK(!buffer.continues("b", 9));
@@ -53,15 +54,15 @@
     buffer.beginAttempt("a");
     buffer.append("a", 0, "01");
     buffer.beginAttempt("b");
-    BOOST_CHECK(buffer.append("a", 2, "XX") == AppendResult::NotLive);
+    BOOST_CHECK(buffer.append("a", 2, "XX") == AppendResult::NotCurrent);
     buffer.append("b", 2, "23");
     buffer.beginAttempt("a");
-    // A late piece of the first "a" is within the text that is known.
-    BOOST_CHECK(buffer.append("a", 2, "XX") == AppendResult::Repeated);
+    // A late piece of the first attempt "a" covers only text that the answer already has.
+    BOOST_CHECK(buffer.append("a", 2, "XX") == AppendResult::Duplicate);
     BOOST_CHECK_EQUAL(buffer.text(), "0123");
 }
 
-BOOST_AUTO_TEST_CASE(nothing_comes_after_the_end_or_a_move)
+BOOST_AUTO_TEST_CASE(nothing_is_appended_after_the_end_or_a_move)
 {
     AnswerBuffer ended;
     ended.beginAttempt("a");
@@ -71,7 +72,7 @@
     AnswerBuffer moved;
     moved.beginAttempt("a");
     moved.markMoved();
-    BOOST_CHECK(moved.append("a", 0, "x") == AppendResult::NotLive);
+    BOOST_CHECK(moved.append("a", 0, "x") == AppendResult::NotCurrent);
     BOOST_CHECK(!moved.finish(RequestOutcome::Completed));
     BOOST_CHECK(moved.wait(0, Milliseconds(0)).moved);
 }
--- a/tests/modules/request/test_reclaim_plan.cpp
+++ b/tests/modules/request/test_reclaim_plan.cpp
@@ -5,9 +5,9 @@
 
 BOOST_AUTO_TEST_SUITE(ReclaimPlans)
 
-BOOST_AUTO_TEST_CASE(the_time_left_and_the_work_at_stake_decide)
+BOOST_AUTO_TEST_CASE(time_left_and_remaining_work_decide_the_action)
 {
-    ReclaimOptions options { .tokenSeconds = 0.1, .transferTokensPerSecond = 1000, .transferSetupSeconds = 0.1, .safety = 2 };
+    ReclaimOptions options { .tokenSeconds = 0.1, .transferTokensPerSecond = 1000, .transferSetupSeconds = 0.1, .safetyFactor = 2 };
     auto actionFor = [&](long milliseconds, unsigned context, unsigned remaining) {
         return planReclaim({ .timeLeft = Milliseconds(milliseconds), .contextTokens = context, .remainingTokens = remaining }, options).action;
     };
