--- a/modules/client/client.cpp
+++ b/modules/client/client.cpp
@@ -27,8 +27,8 @@
         return RequestOutcome::Unknown;
     }
 
-    // What an error body says.
-    struct ErrorAnswer {
+    // Content of the JSON body of an error response.
+    struct ErrorBody {
         RequestOutcome outcome { RequestOutcome::Unknown };
         std::string message;
         Milliseconds retryAfter { 0 };
@@ -36,11 +36,11 @@
         std::string ticket;
     };
 
-    ErrorAnswer readError(const std::string& body)
+    ErrorBody parseErrorBody(const std::string& body)
     {
-        auto read = decodeJson<ErrorAnswer>(body, ErrorCode::Ambiguous, "error body", [](const Json& document) {
+        auto parsedBody = decodeJson<ErrorBody>(body, ErrorCode::Ambiguous, "error body", [](const Json& document) {
             const auto& error = document.at("error");
-            return ErrorAnswer {
+            return ErrorBody {
                 .outcome = outcomeFromText(error.at("outcome")),
                 .message = error.value("message", ""),
                 .retryAfter = Milliseconds(error.value("retry_after_ms", 0)),
@@ -48,7 +48,7 @@
                 .ticket = error.value("ticket", ""),
             };
         });
-        return read ? read.value() : ErrorAnswer { .outcome = RequestOutcome::Unknown, .message = "answer not understood", .addresses = {}, .ticket = {} };
+        return parsedBody ? parsedBody.value() : ErrorBody { .outcome = RequestOutcome::Unknown, .message = "the error response is malformed", .addresses = {}, .ticket = {} };
     }
 
 } // namespace
@@ -71,7 +71,7 @@
     return m_addresses.empty() ? Address {} : m_addresses[attempt % m_addresses.size()];
 }
 
-void Client::noteAddresses(const std::vector<std::string>& texts)
+void Client::addAddresses(const std::vector<std::string>& texts)
 {
     std::vector<Address> parsed;
     for (const auto& it : texts) {
@@ -82,7 +82,7 @@
     if (parsed.empty())
         return;
     std::lock_guard lock(m_mutex);
-    // Earlier ones stay at the end, for the case that none of the new ones answers.
+    // Keep the previous addresses after the new ones, as a fallback if none of the new ones answers.
     for (const auto& it : m_addresses) {
         if (std::find(parsed.begin(), parsed.end(), it) == parsed.end())
             parsed.push_back(it);
@@ -95,22 +95,22 @@
 
 Status Client::refreshAddresses(unsigned tickets)
 {
-    Error last { ErrorCode::Unavailable, "no address is known" };
+    Error lastError { ErrorCode::Unavailable, "no gateway address is known" };
     for (const auto& it : addresses()) {
         HttpCall call { .path = "/v1/addresses?tickets=" + std::to_string(tickets), .headers = { { "Authorization", "Bearer " + m_options.key } }, .readTimeout = addressCallTimeout };
         auto reply = sendHttp(it, call);
         if (!reply) {
-            last = reply.error();
+            lastError = reply.error();
             continue;
         }
         if (reply.value().status == HttpStatus::unauthorized)
-            return Error { ErrorCode::Unauthorized, "the key is not known" };
+            return Error { ErrorCode::Unauthorized, "the API key was rejected" };
         auto document = decodeJson<Json>(reply.value().body, ErrorCode::Unavailable, "addresses", [](const Json& parsed) { return parsed.contains("addresses") ? parsed : throw std::invalid_argument("no addresses"); });
         if (!document) {
-            last = document.error();
+            lastError = document.error();
             continue;
         }
-        noteAddresses(document.value()["addresses"].get<std::vector<std::string>>());
+        addAddresses(document.value()["addresses"].get<std::vector<std::string>>());
         std::lock_guard lock(m_mutex);
         for (const auto& entry : document.value()["tickets"]) {
             auto home = parseAddress(entry.at("address").get<std::string>());
@@ -119,7 +119,7 @@
         }
         return success();
     }
-    return last;
+    return lastError;
 }
 
 std::optional<std::pair<std::string, Address>> Client::takeTicket()
@@ -132,7 +132,7 @@
     return ticket;
 }
 
-void Client::pause(unsigned attempt) const
+void Client::sleepBeforeRetry(unsigned attempt) const
 {
     auto backoff = m_options.firstBackoff;
     for (unsigned n = 0; n < attempt && backoff < maximumBackoff; ++n)
@@ -140,105 +140,105 @@
     std::this_thread::sleep_for(std::min(backoff, maximumBackoff));
 }
 
-// One chat call over all of its tries.
-struct Client::ChatState {
+// State of one chat() call over all of its attempts.
+struct Client::ChatProgress {
     ChatCall call;
     ClientAnswer answer;
-    std::string position; // The last event id.
-    std::string id; // Once a gateway has named it.
-    std::optional<Address> next; // Where the answer goes on.
-    bool done { false };
-    bool progressed { false };
+    std::string lastEventId; // Id of the last event received, from which the answer is resumed.
+    std::string id; // Request id: the ticket, or the id that a gateway assigned.
+    std::optional<Address> nextAddress; // Gateway to which the answer has moved, for the next attempt.
+    bool isDone { false };
+    bool hasReceivedText { false }; // Whether the current attempt received text.
     SteadyTime started { steadyNow() };
 };
 
 ClientAnswer Client::chat(const ChatCall& call, const TextReceiver& receive)
 {
-    ChatState state;
-    state.call = call;
-    state.id = call.ticket;
+    ChatProgress progress;
+    progress.call = call;
+    progress.id = call.ticket;
     unsigned failures = 0;
-    for (unsigned attempt = 0; attempt < m_options.maximumTries && !state.done; ++attempt) {
-        auto address = state.next ? *state.next : pickAddress(failures);
-        state.next.reset();
-        state.progressed = false;
-        ++state.answer.tries;
-        tryChat(state, address, receive);
-        if (state.done || state.next)
+    for (unsigned attempt = 0; attempt < m_options.maximumTries && !progress.isDone; ++attempt) {
+        auto address = progress.nextAddress ? *progress.nextAddress : pickAddress(failures);
+        progress.nextAddress.reset();
+        progress.hasReceivedText = false;
+        ++progress.answer.tries;
+        attemptChat(progress, address, receive);
+        if (progress.isDone || progress.nextAddress)
             continue;
-        failures = state.progressed ? 1 : failures + 1;
-        pause(failures);
+        failures = progress.hasReceivedText ? 1 : failures + 1;
+        sleepBeforeRetry(failures);
         if (failures % 3 == 2)
             (void)refreshAddresses();
     }
-    state.answer.requestId = state.id;
-    return state.answer;
+    progress.answer.requestId = progress.id;
+    return progress.answer;
 }
 
-void Client::tryChat(ChatState& state, const Address& address, const TextReceiver& receive)
+void Client::attemptChat(ChatProgress& progress, const Address& address, const TextReceiver& receive)
 {
-    bool resumes = !state.id.empty() && state.id != state.call.ticket;
-    resumes = resumes || !state.position.empty();
+    bool isResume = !progress.id.empty() && progress.id != progress.call.ticket;
+    isResume = isResume || !progress.lastEventId.empty();
     HttpCall call { .headers = { { "Authorization", "Bearer " + m_options.key } }, .readTimeout = m_options.silenceLimit };
-    if (resumes) {
-        call.path = "/v1/requests/" + state.id;
-        if (!state.position.empty())
-            call.headers.emplace("Last-Event-ID", state.position);
+    if (isResume) {
+        call.path = "/v1/requests/" + progress.id;
+        if (!progress.lastEventId.empty())
+            call.headers.emplace("Last-Event-ID", progress.lastEventId);
     } else {
-        Json message { { "role", "user" }, { "content", state.call.prompt } };
-        Json body { { "model", state.call.service }, { "stream", true }, { "max_tokens", state.call.maximumTokens }, { "messages", Json::array({ message }) } };
+        Json message { { "role", "user" }, { "content", progress.call.prompt } };
+        Json body { { "model", progress.call.service }, { "stream", true }, { "max_tokens", progress.call.maximumTokens }, { "messages", Json::array({ message }) } };
         call.method = "POST";
         call.path = "/v1/chat/completions";
         call.body = body.dump();
-        if (!state.call.ticket.empty())
-            call.headers.emplace("Onyxnotch-Ticket", state.call.ticket);
+        if (!progress.call.ticket.empty())
+            call.headers.emplace("Onyxnotch-Ticket", progress.call.ticket);
     }
     int status = 0;
     std::string errorText;
-    auto takeOwn = [&](const Json& own) {
-        auto event = own.value("event", "");
+    auto onExtension = [&](const Json& extension) {
+        auto event = extension.value("event", "");
         if (event == "accepted")
-            state.id = own.at("request_id").get<std::string>();
+            progress.id = extension.at("request_id").get<std::string>();
         if (event == "moved") {
-            auto addresses = own.at("addresses").get<std::vector<std::string>>();
-            noteAddresses(addresses);
+            auto addresses = extension.at("addresses").get<std::vector<std::string>>();
+            addAddresses(addresses);
             auto parsed = parseAddress(addresses.at(0));
             if (parsed)
-                state.next = parsed.value();
-            ++state.answer.moves;
+                progress.nextAddress = parsed.value();
+            ++progress.answer.moves;
         }
         if (event == "end") {
-            auto outcome = outcomeFromText(own.at("outcome"));
-            bool whole = outcome != RequestOutcome::Completed || own.at("final_offset").get<std::size_t>() == state.answer.text.size();
-            state.answer.outcome = whole ? outcome : RequestOutcome::Unknown;
-            state.answer.reason = whole ? own.value("message", "") : "the answer is not whole";
-            state.answer.retryAfter = Milliseconds(own.value("retry_after_ms", 0));
-            state.done = whole;
+            auto outcome = outcomeFromText(extension.at("outcome"));
+            bool isValid = outcome != RequestOutcome::Completed || extension.at("final_offset").get<std::size_t>() == progress.answer.text.size();
+            progress.answer.outcome = isValid ? outcome : RequestOutcome::Unknown;
+            progress.answer.reason = isValid ? extension.value("message", "") : "the answer is incomplete";
+            progress.answer.retryAfter = Milliseconds(extension.value("retry_after_ms", 0));
+            progress.isDone = isValid;
         }
     };
-    auto takeChunk = [&](const ServerSentEvent& event, const Json& chunk) {
+    auto onChunk = [&](const ServerSentEvent& event, const Json& chunk) {
         for (const auto& choice : chunk.at("choices")) {
             auto text = choice.at("delta").value("content", "");
             if (text.empty())
                 continue;
-            if (state.answer.text.empty())
-                state.answer.firstTextSeconds = std::chrono::duration<double>(steadyNow() - state.started).count();
-            state.answer.text += text;
-            state.progressed = true;
+            if (progress.answer.text.empty())
+                progress.answer.firstTextSeconds = std::chrono::duration<double>(steadyNow() - progress.started).count();
+            progress.answer.text += text;
+            progress.hasReceivedText = true;
             if (receive)
                 receive(text);
         }
         if (!event.id.empty())
-            state.position = event.id;
+            progress.lastEventId = event.id;
         if (chunk.contains("onyxnotch"))
-            takeOwn(chunk.at("onyxnotch"));
+            onExtension(chunk.at("onyxnotch"));
         return true;
     };
     ServerSentEventParser parser([&](const ServerSentEvent& event) {
         if (event.data == "[DONE]")
             return true;
-        auto taken = decodeJson<bool>(event.data, ErrorCode::Ambiguous, "event", [&](const Json& chunk) { return takeChunk(event, chunk); });
-        return taken.has_value();
+        auto handled = decodeJson<bool>(event.data, ErrorCode::Ambiguous, "event", [&](const Json& chunk) { return onChunk(event, chunk); });
+        return handled.has_value();
     });
     auto onHeaders = [&](const HttpReply& reply) {
         status = reply.status;
@@ -251,28 +251,29 @@
         return true;
     };
     auto result = HttpStream(address).run(call, onHeaders, onData);
-    if (status == 200 || state.done)
+    if (status == 200 || progress.isDone)
         return;
     if (status == 0) {
-        state.answer.reason = result ? "no answer" : result.error().message;
+        progress.answer.reason = result ? "no answer" : result.error().message;
         return;
     }
-    auto error = readError(errorText);
-    noteAddresses(error.addresses);
-    state.answer.httpStatus = status;
-    state.answer.outcome = error.outcome;
-    state.answer.reason = error.message;
-    state.answer.retryAfter = error.retryAfter;
-    if (status == HttpStatus::conflict || (resumes && error.outcome == RequestOutcome::Unknown && state.call.ticket.empty())) {
-        // The answer is lost or went on differently: a model request may be asked again from the start.
-        state.id.clear();
-        state.position.clear();
-        state.answer.text.clear();
+    auto error = parseErrorBody(errorText);
+    addAddresses(error.addresses);
+    progress.answer.httpStatus = status;
+    progress.answer.outcome = error.outcome;
+    progress.answer.reason = error.message;
+    progress.answer.retryAfter = error.retryAfter;
+    if (status == HttpStatus::conflict || (isResume && error.outcome == RequestOutcome::Unknown && progress.call.ticket.empty())) {
+        // The answer is lost, or the gateway's text differs from the text received. A model request may be repeated: start again from the
+        // beginning.
+        progress.id.clear();
+        progress.lastEventId.clear();
+        progress.answer.text.clear();
         return;
     }
-    bool goElsewhere = error.outcome == RequestOutcome::NotRun && !error.addresses.empty();
-    state.done = error.outcome == RequestOutcome::NotRun && !goElsewhere;
-    state.done = state.done || error.outcome == RequestOutcome::Failed;
+    bool hasOtherGateways = error.outcome == RequestOutcome::NotRun && !error.addresses.empty();
+    progress.isDone = error.outcome == RequestOutcome::NotRun && !hasOtherGateways;
+    progress.isDone = progress.isDone || error.outcome == RequestOutcome::Failed;
 }
 
 ClientAnswer Client::callOnce(const Address& address, const std::string& service, const std::string& path, const std::string& body, const std::string& ticket)
@@ -283,7 +284,8 @@
     ClientAnswer answer { .requestId = ticket, .tries = 1 };
     auto reply = sendHttp(address, call);
     if (!reply) {
-        // What never left is not run by this copy; an earlier copy is the caller's to know of.
+        // Unavailable means that the request was never sent, so this copy was not executed. Whether an earlier copy of the same request was
+        // executed is up to the caller of this function to track.
         answer.outcome = reply.error().code == ErrorCode::Unavailable ? RequestOutcome::NotRun : RequestOutcome::Unknown;
         answer.reason = reply.error().message;
         return answer;
@@ -295,11 +297,11 @@
         answer.requestId = reply.value().header(requestIdHeader);
         return answer;
     }
-    auto error = readError(reply.value().body);
+    auto error = parseErrorBody(reply.value().body);
     answer.outcome = error.outcome;
     answer.reason = error.message;
     answer.retryAfter = error.retryAfter;
-    noteAddresses(error.addresses);
+    addAddresses(error.addresses);
     return answer;
 }
 
@@ -308,13 +310,13 @@
     std::string ticket;
     std::optional<Address> home;
     if (!repeatable) {
-        auto taken = takeTicket();
-        if (!taken && refreshAddresses(1))
-            taken = takeTicket();
-        if (!taken)
-            return { .outcome = RequestOutcome::NotRun, .reason = "no ticket could be had" };
-        ticket = taken->first;
-        home = taken->second;
+        auto ticketAndHome = takeTicket();
+        if (!ticketAndHome && refreshAddresses(1))
+            ticketAndHome = takeTicket();
+        if (!ticketAndHome)
+            return { .outcome = RequestOutcome::NotRun, .reason = "no ticket could be obtained" };
+        ticket = ticketAndHome->first;
+        home = ticketAndHome->second;
     }
     ClientAnswer answer;
     bool mayHaveRun = false;
@@ -324,14 +326,14 @@
         answer.tries = attempt + 1;
         if (answer.outcome == RequestOutcome::Completed || answer.outcome == RequestOutcome::Failed)
             return answer;
-        // Nothing was reached: the same ticket may be shown to another node, which asks the home.
-        bool unreached = answer.httpStatus == 0;
+        // Without an HTTP response, the same ticket may be sent to another gateway, which forwards the call to the ticket's home.
+        bool hasNoResponse = answer.httpStatus == 0;
         if (answer.outcome == RequestOutcome::Unknown)
             mayHaveRun = true;
-        bool finalWord = !unreached && (answer.outcome == RequestOutcome::Unknown || answer.outcome == RequestOutcome::NotRun);
-        if (finalWord && !repeatable)
+        bool isFinal = !hasNoResponse && (answer.outcome == RequestOutcome::Unknown || answer.outcome == RequestOutcome::NotRun);
+        if (isFinal && !repeatable)
             return answer;
-        pause(attempt);
+        sleepBeforeRetry(attempt);
     }
     if (mayHaveRun)
         answer.outcome = RequestOutcome::Unknown;
--- a/modules/client/client.h
+++ b/modules/client/client.h
@@ -1,5 +1,5 @@
-// A caller's side of the interface: asks for addresses, keeps them, calls, goes on where an answer broke off or moved.
-// The command line, the demo and the tests use it; other callers need only the protocol in docs/PROTOCOL.md.
+// Client of the gateways' HTTP API: discovers gateway addresses and tickets, sends requests, and resumes a streamed answer that was cut off
+// or moved to another gateway. Used by the command line, the demo and the tests; other clients need only the protocol in docs/PROTOCOL.md.
 #pragma once
 
 #include "core/clock.h"
@@ -14,24 +14,24 @@
 namespace Onyxnotch {
 
 struct ClientOptions {
-    std::vector<Address> addresses {}; // Known ones to begin with.
-    std::string key {};
-    unsigned maximumTries { 20 }; // Of one request, over all addresses.
-    Milliseconds firstBackoff { 50 }; // Between tries that failed; doubled up to a second.
-    Milliseconds silenceLimit { 10000 };
+    std::vector<Address> addresses {}; // Gateway addresses to start with.
+    std::string key {}; // API key of the team.
+    unsigned maximumTries { 20 }; // Attempts for one request, over all addresses.
+    Milliseconds firstBackoff { 50 }; // Delay after a failed attempt; doubled up to one second.
+    Milliseconds silenceLimit { 10000 }; // Maximum time without receiving a byte of an answer.
 };
 
-// How a call ended for the caller.
+// Result of one request, over all of its attempts.
 struct ClientAnswer {
     RequestOutcome outcome { RequestOutcome::Unknown };
     std::string requestId {};
-    std::string text {}; // The whole answer, or the body of a plain service's answer.
+    std::string text {}; // Complete answer of a model service, or body of a plain service's answer.
     std::string reason {};
-    int httpStatus { 0 };
+    int httpStatus { 0 }; // 0 if there was no HTTP response. chat() sets it for error responses only.
     Milliseconds retryAfter { 0 };
-    unsigned tries { 0 };
-    unsigned moves { 0 }; // How often the answer went on at another address.
-    double firstTextSeconds { 0 };
+    unsigned tries { 0 }; // Attempts made.
+    unsigned moves { 0 }; // How often the answer continued at another gateway.
+    double firstTextSeconds { 0 }; // From the start of the request to the first text of the answer.
 
     bool operator==(const ClientAnswer&) const = default;
 };
@@ -40,7 +40,7 @@
     std::string service {};
     std::string prompt {};
     unsigned maximumTokens { 256 };
-    std::string ticket {}; // Empty: the gateway chooses the request id.
+    std::string ticket {}; // If empty, the gateway assigns the request id.
 };
 
 class Client {
@@ -50,26 +50,31 @@
 
     explicit Client(const ClientOptions&);
 
-    // Asks the known addresses which ones to use, and for tickets. Errors: Unavailable where none answers; Unauthorized.
+    // Requests the current gateway addresses and the given number of tickets from the known addresses, until one answers. Errors:
+    // Unavailable if none answers; Unauthorized if the API key is rejected.
     Status refreshAddresses(unsigned tickets = 0);
-    // A streamed answer; repeats and resumes until it is whole or finally refused.
+    // Sends a chat request and reads the streamed answer. Retries and resumes until the answer is complete or has failed, the request is
+    // refused, or the attempts are used up.
     ClientAnswer chat(const ChatCall&, const TextReceiver& receive = {});
-    // A call to a plain service. One that may not be repeated takes a ticket, and is repeated only with that ticket.
+    // Sends a call to a plain service. A call that is not `repeatable` uses a ticket, and is sent again only with the same ticket.
     ClientAnswer call(const std::string& service, const std::string& path, const std::string& body, bool repeatable);
-    // The same with a ticket of the caller's choice, at one address and without any repeat.
+    // Sends a call to a plain service once, to one address, with the given ticket (none if empty).
     ClientAnswer callOnce(const Address&, const std::string& service, const std::string& path, const std::string& body, const std::string& ticket);
 
     std::vector<Address> addresses() const;
-    // A ticket and the address of its home, taken from those that refreshAddresses() brought.
+    // Removes and returns one of the tickets from refreshAddresses(), with the address of the node that issued it. Empty if none is left.
     std::optional<std::pair<std::string, Address>> takeTicket();
 
 private:
-    struct ChatState;
+    struct ChatProgress;
 
+    // Cycles through the known addresses.
     Address pickAddress(unsigned attempt) const;
-    void tryChat(ChatState&, const Address&, const TextReceiver&);
-    void noteAddresses(const std::vector<std::string>&);
-    void pause(unsigned attempt) const;
+    void attemptChat(ChatProgress&, const Address&, const TextReceiver&);
+    // Puts the valid ones of these addresses in front of the known ones.
+    void addAddresses(const std::vector<std::string>&);
+    // Sleeps before the attempt after `attempt` failed ones, with exponential backoff.
+    void sleepBeforeRetry(unsigned attempt) const;
 
     ClientOptions m_options;
     mutable std::mutex m_mutex;
