--- a/modules/load/load_runner.cpp
+++ b/modules/load/load_runner.cpp
@@ -10,20 +10,20 @@
 namespace {
 
     constexpr std::size_t bytesPerToken = 4;
-    constexpr double percentile = 0.95;
+    constexpr double reportedPercentile = 0.95;
 
     double secondsSince(SteadyTime begin) { return std::chrono::duration<double>(steadyNow() - begin).count(); }
 
-    double percentileOf(std::vector<double>& values)
+    double percentile95(std::vector<double>& values)
     {
         if (values.empty())
             return 0;
-        auto at = values.begin() + static_cast<std::ptrdiff_t>(percentile * static_cast<double>(values.size() - 1));
-        std::nth_element(values.begin(), at, values.end());
-        return *at;
+        auto rank = values.begin() + static_cast<std::ptrdiff_t>(reportedPercentile * static_cast<double>(values.size() - 1));
+        std::nth_element(values.begin(), rank, values.end());
+        return *rank;
     }
 
-    // One run of a trace; each request has a thread of its own.
+    // One run of a trace. Each request runs on a thread of its own.
     class LoadRun {
     public:
         LoadRun(const LoadOptions& options, const std::vector<TraceRequest>& trace)
@@ -34,17 +34,17 @@
 
         LoadSummary run()
         {
-            auto began = steadyNow();
+            auto startedAt = steadyNow();
             for (std::size_t n = 0; n < m_trace.size(); ++n) {
-                std::this_thread::sleep_until(began + m_trace[n].at);
+                std::this_thread::sleep_until(startedAt + m_trace[n].at);
                 start(n);
             }
             std::unique_lock lock(m_mutex);
             m_ended.wait(lock, [this] { return m_inFlight == 0; });
-            m_summary.seconds = secondsSince(began);
-            m_summary.firstTokenP95 = percentileOf(m_firstTokens);
-            m_summary.betweenTokensP95 = percentileOf(m_betweenTokens);
-            m_summary.refusalP95 = percentileOf(m_refusals);
+            m_summary.seconds = secondsSince(startedAt);
+            m_summary.firstTokenP95 = percentile95(m_firstTokens);
+            m_summary.betweenTokensP95 = percentile95(m_betweenTokens);
+            m_summary.refusalP95 = percentile95(m_refusals);
             return m_summary;
         }
 
@@ -82,26 +82,26 @@
         {
             const auto& request = m_trace[n];
             auto client = clientFor(n);
-            auto began = steadyNow();
-            auto last = began;
+            auto startedAt = steadyNow();
+            auto lastTextAt = startedAt;
             std::vector<double> gaps;
             auto answer = client.chat({ .service = m_options.modelService, .prompt = request.prompt, .maximumTokens = request.maximumTokens }, [&](const std::string& text) {
-                // Several tokens may come in one piece.
+                // One piece of text may contain several tokens, counted by spaces. The time since the last piece is divided among them.
                 auto tokens = std::max<std::ptrdiff_t>(1, std::count(text.begin(), text.end(), ' '));
-                auto gap = secondsSince(last);
-                if (last != began)
+                auto gap = secondsSince(lastTextAt);
+                if (lastTextAt != startedAt)
                     gaps.insert(gaps.end(), static_cast<std::size_t>(tokens), gap / static_cast<double>(tokens));
-                last = steadyNow();
+                lastTextAt = steadyNow();
             });
-            bool whole = answer.outcome == RequestOutcome::Completed && (!m_options.verify || m_options.verify(request, answer.text));
-            auto gap = percentileOf(gaps);
+            bool isCorrect = answer.outcome == RequestOutcome::Completed && (!m_options.verify || m_options.verify(request, answer.text));
+            auto gap = percentile95(gaps);
             std::lock_guard lock(m_mutex);
             if (answer.outcome == RequestOutcome::NotRun) {
                 ++m_summary.refused;
-                m_refusals.push_back(secondsSince(began));
+                m_refusals.push_back(secondsSince(startedAt));
                 return;
             }
-            if (!whole) {
+            if (!isCorrect) {
                 ++m_summary.lost;
                 return;
             }
@@ -115,13 +115,13 @@
         void release(std::size_t n)
         {
             auto client = clientFor(n);
-            auto began = steadyNow();
+            auto startedAt = steadyNow();
             auto answer = client.call(m_options.releaseService, "/release", m_trace[n].prompt, false);
             std::lock_guard lock(m_mutex);
             m_summary.releaseIds.push_back(answer.requestId);
             if (answer.outcome == RequestOutcome::Completed) {
                 ++m_summary.completed;
-                m_summary.onTarget += secondsSince(began) <= m_options.firstTokenTarget ? 1 : 0;
+                m_summary.onTarget += secondsSince(startedAt) <= m_options.firstTokenTarget ? 1 : 0;
             } else if (answer.outcome == RequestOutcome::NotRun) {
                 ++m_summary.refused;
             } else {
