--- a/modules/request/handover.cpp
+++ b/modules/request/handover.cpp
@@ -50,8 +50,8 @@
     auto others = view->usable(MemberRole::Gateway);
     std::erase_if(others, [&](const Member& it) { return it.node == view->self.node; });
     // The hash spreads the nodes of a zone over different successors, so that a reclaim of the zone does not move all work to one node.
-    auto order = [&](const Member& it) { return std::make_pair(it.zone == view->self.zone, fastHash(view->self.node + "|" + it.node)); };
-    std::sort(others.begin(), others.end(), [&](const Member& left, const Member& right) { return order(left) < order(right); });
+    auto rank = [&](const Member& it) { return std::make_pair(it.zone == view->self.zone, fastHash(view->self.node + "|" + it.node)); };
+    std::sort(others.begin(), others.end(), [&](const Member& left, const Member& right) { return rank(left) < rank(right); });
     return others;
 }
 
--- a/modules/request/ledger_book.h
+++ b/modules/request/ledger_book.h
@@ -16,7 +16,7 @@
     std::string homeNode {}; // Node that issued the ledger's tickets. Not the sender if the sender received the ledger itself.
     std::uint64_t homeIncarnation { 0 };
     std::uint32_t generation { 1 }; // Increases with each node to which the sender offers its ledgers.
-    std::string ticketKey {}; // Signs the home's tickets.
+    std::string ticketKey {}; // Key with which the home signs its tickets.
     std::uint64_t ledgerTime { 0 }; // Current time on this ledger's clock, in milliseconds, when the offer was made.
     LedgerContent content {};
 
--- a/modules/request/model_runner.cpp
+++ b/modules/request/model_runner.cpp
@@ -132,7 +132,7 @@
         return finish(request, RequestOutcome::NotRun, "the retry budget of this node is used up");
     ++progress.attempts;
 
-    EngineStreamRequest start {
+    EngineStreamRequest streamRequest {
         .streamId = newAttemptId(),
         .model = served->model,
         .adapter = served->adapter,
@@ -147,8 +147,8 @@
         m_metrics.increment("onyxnotch_recomputed_tokens_total", { { "service", description.service } }, recomputedTokens);
         request.trace(m_options.node, "prefill_again", std::to_string(recomputedTokens) + " tokens");
     }
-    request.answer().beginAttempt(start.streamId);
-    request.setLocation({ .attempt = start.streamId, .endpoint = endpoint.id, .address = endpoint.address });
+    request.answer().beginAttempt(streamRequest.streamId);
+    request.setLocation({ .attempt = streamRequest.streamId, .endpoint = endpoint.id, .address = endpoint.address });
     progress.inFlight = m_directory.loads().begin(endpoint.id, prefixHash, m_directory.expectedPrefill(candidates[*decision.candidate], route), m_directory.gatewayCount());
     m_metrics.increment("onyxnotch_attempts_total", { { "service", description.service } });
 
@@ -163,7 +163,7 @@
     progress.sentAt = steadyNow();
     m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(description), incarnationId, zoneHash(endpoint.zone)); });
     stream.onHead([&](std::optional<double> limit) { m_directory.loads().namedLimit(endpoint.id, limit, progress.sentAt, m_directory.gatewayCount()); });
-    auto end = stream.start(start, [&](const EngineEvent& event) { return receive(request, start.streamId, event); });
+    auto end = stream.start(streamRequest, [&](const EngineEvent& event) { return receive(request, streamRequest.streamId, event); });
     request.detach();
     if (auto requestedBackoff = stream.askedRest())
         m_directory.loads().askedRest(endpoint.id, *requestedBackoff);
