--- a/modules/routing/endpoint_subset.h
+++ b/modules/routing/endpoint_subset.h
@@ -1,4 +1,4 @@
-// The endpoints that one gateway routes to: a bounded part of all, so that no node needs to know every endpoint's load.
+// Selects the endpoints that one gateway routes requests to: a bounded subset, so that no gateway has to track the load of every endpoint.
 #pragma once
 
 #include "modules/replica/endpoint_catalog.h"
@@ -7,8 +7,9 @@
 
 namespace Onyxnotch {
 
-// Of each loaded model at most `size` endpoints, by highest random weight over node and endpoint: a change of one endpoint changes at
-// most one place of a node's part, and every endpoint is in the parts of about as many nodes. A pure function.
+// Returns at most `size` endpoints of each loaded model, chosen by rendezvous hashing (highest random weight) of node and endpoint id.
+// Adding or removing an endpoint replaces at most one endpoint of a node's subset, and each endpoint is in the subsets of about the same
+// number of nodes. A pure function.
 std::vector<Endpoint> chooseSubset(const std::vector<Endpoint>&, const std::string& node, std::size_t size);
 
 } // namespace Onyxnotch
--- a/modules/routing/load_tracker.cpp
+++ b/modules/routing/load_tracker.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    // Of the newest request in the average.
-    constexpr double typicalWeight = 0.1;
+    // Weight of the newest request in the moving average of tokens to prefill per request.
+    constexpr double newestWeight = 0.1;
 
 } // namespace
 
@@ -50,8 +50,8 @@
 
 double LoadTracker::backlogLocked(const Entry& entry) const
 {
-    auto passed = std::chrono::duration<double>(steadyNow() - entry.backlogAt).count();
-    return std::max(0.0, entry.load.backlogTokens - passed * m_options.prefillTokensPerSecond);
+    auto elapsed = std::chrono::duration<double>(steadyNow() - entry.backlogAt).count();
+    return std::max(0.0, entry.load.backlogTokens - elapsed * m_options.prefillTokensPerSecond);
 }
 
 LoadTracker::InFlight LoadTracker::begin(const std::string& endpoint, std::uint64_t prefixHash, double tokens, unsigned nodes)
@@ -61,8 +61,8 @@
     ++entry.load.ownInFlight;
     entry.load.backlogTokens = backlogLocked(entry) + tokens * nodes;
     entry.backlogAt = steadyNow();
-    bool first = entry.typicalTokens == 0;
-    entry.typicalTokens = first ? tokens : entry.typicalTokens + typicalWeight * (tokens - entry.typicalTokens);
+    bool isFirst = entry.averageTokens == 0;
+    entry.averageTokens = isFirst ? tokens : entry.averageTokens + newestWeight * (tokens - entry.averageTokens);
     entry.prefixes.remove(prefixHash);
     entry.prefixes.push_front(prefixHash);
     if (entry.prefixes.size() > maximumPrefixes)
@@ -85,8 +85,8 @@
     auto& load = entry.load;
     load.reportedRunning = report.running;
     load.reportedQueued = report.queued;
-    entry.ownAtReport = load.ownInFlight;
-    load.backlogTokens = report.queued * entry.typicalTokens;
+    entry.inFlightAtReport = load.ownInFlight;
+    load.backlogTokens = report.queued * entry.averageTokens;
     entry.backlogAt = steadyNow();
 }
 
@@ -98,34 +98,34 @@
         return {};
     auto load = it->second.load;
     load.backlogTokens = backlogLocked(it->second);
-    load.addedSinceReport = load.ownInFlight - std::min(load.ownInFlight, it->second.ownAtReport);
+    load.addedSinceReport = load.ownInFlight - std::min(load.ownInFlight, it->second.inFlightAtReport);
     const auto& prefixes = it->second.prefixes;
     load.prefixCached = std::find(prefixes.begin(), prefixes.end(), prefixHash) != prefixes.end();
     return load;
 }
 
-void LoadTracker::askedRest(const std::string& endpoint, Milliseconds rest)
+void LoadTracker::askedRest(const std::string& endpoint, Milliseconds backoff)
 {
     std::lock_guard lock(m_mutex);
-    m_rests.ask({ .id = endpoint }, rest, steadyNow());
+    m_backoffs.ask({ .id = endpoint }, backoff, steadyNow());
 }
 
-Milliseconds LoadTracker::restLeft(const std::string& endpoint) const
+Milliseconds LoadTracker::backoffLeft(const std::string& endpoint) const
 {
     std::lock_guard lock(m_mutex);
-    return std::max(Milliseconds(0), std::chrono::ceil<Milliseconds>(m_rests.endOf({ .id = endpoint }) - steadyNow()));
+    return std::max(Milliseconds(0), std::chrono::ceil<Milliseconds>(m_backoffs.endOf({ .id = endpoint }) - steadyNow()));
 }
 
 void LoadTracker::namedLimit(const std::string& endpoint, std::optional<double> perSecond, SteadyTime sentAt, unsigned gateways)
 {
     std::lock_guard lock(m_mutex);
-    EndpointLife life { .id = endpoint };
-    if (!perSecond && !m_limits.knows(life))
+    EndpointLife incarnation { .id = endpoint };
+    if (!perSecond && !m_limits.knows(incarnation))
         return;
     auto now = steadyNow();
-    auto milliseconds = [](SteadyTime at) { return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(at.time_since_epoch()).count()); };
+    auto toMilliseconds = [](SteadyTime at) { return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(at.time_since_epoch()).count()); };
     m_limits.setSpeakingPart(1.0 / std::max(1U, gateways));
-    m_limits.hear({ .endpoint = life, .perSecond = std::min(perSecond.value_or(unlimitedPerSecond), unlimitedPerSecond), .sentAt = milliseconds(sentAt), .heardAt = milliseconds(now) }, now);
+    m_limits.hear({ .endpoint = incarnation, .perSecond = std::min(perSecond.value_or(unlimitedPerSecond), unlimitedPerSecond), .sentAt = toMilliseconds(sentAt), .heardAt = toMilliseconds(now) }, now);
 }
 
 bool LoadTracker::takeCredit(const std::string& endpoint)
@@ -143,9 +143,9 @@
 Milliseconds LoadTracker::untilReady(const std::string& endpoint) const
 {
     std::lock_guard lock(m_mutex);
-    EndpointLife life { .id = endpoint };
+    EndpointLife incarnation { .id = endpoint };
     auto now = steadyNow();
-    auto ready = std::max(m_rests.endOf(life), m_limits.creditAt(life, now));
+    auto ready = std::max(m_backoffs.endOf(incarnation), m_limits.creditAt(incarnation, now));
     return std::max(Milliseconds(0), std::chrono::ceil<Milliseconds>(ready - now));
 }
 
--- a/modules/routing/load_tracker.h
+++ b/modules/routing/load_tracker.h
@@ -1,4 +1,5 @@
-// What this node knows of the load of its endpoints: its own requests in flight, and the engines' late reports.
+// Tracks the load of each endpoint as known to this node: its own requests in flight and the engines' load reports, which arrive with a
+// delay. Also tracks when an endpoint may be sent a request: requested backoff, advertised rate limits, and pauses after refusals.
 #pragma once
 
 #include "modules/balance/endpoint_health.h"
@@ -14,15 +15,15 @@
 namespace Onyxnotch {
 
 struct LoadTrackerOptions {
-    double prefillTokensPerSecond { 8000 }; // Of one engine.
+    double prefillTokensPerSecond { 8000 }; // Of one engine; used to estimate how fast a backlog shrinks.
 };
 
-// Thread safe.
+// Thread-safe.
 class LoadTracker {
 public:
     explicit LoadTracker(const LoadTrackerOptions& options = {});
 
-    // Counts a request at an endpoint for as long as it lives.
+    // Counts a request as in flight at an endpoint until this object is destroyed.
     class InFlight {
     public:
         InFlight() = default;
@@ -37,51 +38,57 @@
         std::string m_endpoint {};
     };
 
-    // `tokens` are expected to be prefilled. The other `nodes` - 1 gateways are expected to start as much as this one.
+    // Starts a request of which `tokens` tokens are expected to be prefilled. `nodes` is the number of gateways: the other `nodes` - 1 are
+    // assumed to start as many requests as this one, so the endpoint's backlog grows by `tokens` * `nodes`.
     InFlight begin(const std::string& endpoint, std::uint64_t prefixHash, double tokens, unsigned nodes);
+    // Applies a load report of the endpoint's engine; replaces the estimated backlog.
     void report(const std::string& endpoint, const EngineLoad&);
+    // The current load of the endpoint; all zero if it is not known.
     EndpointLoad load(const std::string& endpoint, std::uint64_t prefixHash) const;
+    // Removes the load of an endpoint, unless this node has requests in flight there.
     void forget(const std::string& endpoint);
-    // It turned a request away and wants nothing from this node for so long.
+    // The endpoint refused a request and asked this node to send none for the given time.
     void askedRest(const std::string& endpoint, Milliseconds);
-    // How long it still rests; 0 where it does not.
-    Milliseconds restLeft(const std::string& endpoint) const;
-    // An answer to what was sent at `sentAt` names how many requests a second it takes from all gateways together, or names none. This one
-    // takes an even part of it.
+    // Time left of the backoff that the endpoint requested; 0 if there is none.
+    Milliseconds backoffLeft(const std::string& endpoint) const;
+    // A response to a request sent at `sentAt` advertised a limit of `perSecond` requests per second, which all gateways share, or no
+    // limit. This gateway uses an equal share: the limit divided by `gateways`.
     void namedLimit(const std::string& endpoint, std::optional<double> perSecond, SteadyTime sentAt, unsigned gateways);
-    // A request is to be sent there; returns whether it may.
+    // Takes one credit of the advertised limit, for a request about to be sent. Returns false if none is left.
     bool takeCredit(const std::string& endpoint);
-    // It was not sent.
+    // Returns the credit of a request that was not sent.
     void giveCreditBack(const std::string& endpoint);
-    // Until it rests no longer and there may be a credit; 0 where it may be asked at once.
+    // Time until the endpoint's backoff is over and a credit may be available; 0 if a request may be sent now.
     Milliseconds untilReady(const std::string& endpoint) const;
-    // It did not start a request: it answers sooner than any other and has nothing in flight, and would be chosen for the next one, too.
+    // The endpoint refused a request. It is paused then: it would otherwise be chosen for the next request too, since it responds faster
+    // than the others and has nothing in flight.
     void onTurnedAway(const std::string& endpoint);
-    // It ran one.
+    // The endpoint executed a request; ends its pause.
     void onTaken(const std::string& endpoint);
-    // Whether it is left alone for a moment, where others can take a request.
+    // Whether the endpoint is paused after refusals, and should be avoided if other endpoints can take a request.
     bool isPaused(const std::string& endpoint) const;
 
 private:
-    static constexpr std::size_t maximumPrefixes = 32; // Remembered for each endpoint.
+    // Most recent prompt prefixes remembered for each endpoint, to estimate whether a prefix is cached there.
+    static constexpr std::size_t maximumPrefixes = 32;
 
     struct Entry {
         EndpointLoad load;
-        double typicalTokens { 0 }; // To be prefilled for one request, as this node has seen there lately.
-        unsigned ownAtReport { 0 };
-        SteadyTime backlogAt {}; // When the backlog was as it stands in `load`.
-        std::list<std::uint64_t> prefixes; // Most recent first.
+        double averageTokens { 0 }; // Moving average of the tokens to prefill per request that this node started there.
+        unsigned inFlightAtReport { 0 }; // This node's requests in flight when the last report arrived.
+        SteadyTime backlogAt {}; // When `load.backlogTokens` was computed.
+        std::list<std::uint64_t> prefixes; // Hashes, most recent first.
         EndpointHealth health {};
     };
 
     void end(const std::string& endpoint);
-    // Prefills are done one after the other at a known rate.
+    // The current backlog in tokens, on the assumption that the engine prefills at a constant rate. `m_mutex` must be locked.
     double backlogLocked(const Entry&) const;
 
     LoadTrackerOptions m_options;
     mutable std::mutex m_mutex;
     std::map<std::string, Entry> m_entries {};
-    EndpointRests m_rests {};
+    EndpointRests m_backoffs {};
     EndpointLimits m_limits {};
 };
 
--- a/modules/routing/route.cpp
+++ b/modules/routing/route.cpp
@@ -7,22 +7,25 @@
 namespace {
 
     constexpr double secondsPerHour = 3600;
-    constexpr double soonerWeight = 0.5;
-    // An engine with so little before a request, and so many slots free, has room for one that takes long by itself.
+    // Relative increase of a candidate's cost per second of expected time to the first token.
+    constexpr double latencyWeight = 0.5;
+    // An engine with at most this expected wait and less than this fraction of its slots in use may start a request that takes longer than
+    // its objective in any case.
     constexpr double idleWaitSeconds = 0.005;
-    constexpr double roomyPartOfSlots = 0.5;
+    constexpr double roomySlotFraction = 0.5;
     constexpr auto noEndpoint = "no endpoint serves this model";
-    // A part of the objective is kept for what the estimate does not see: the network and the lag of reports.
-    constexpr double usablePartOfObjective = 0.7;
+    // The remaining fraction of the objective is a reserve for what the estimate does not cover: network time and the delay of load
+    // reports.
+    constexpr double usableObjectiveFraction = 0.7;
 
-    unsigned loadOf(const EndpointLoad& load)
+    unsigned estimatedRequests(const EndpointLoad& load)
     {
-        // Reports lag, so this node's own count is a lower bound.
+        // Reports are delayed, so the result is at least the number of this node's own requests.
         return std::max(load.reportedRunning + load.reportedQueued + load.addedSinceReport, load.ownInFlight);
     }
 
-    // Price of the engine's time that the request takes, plus the price of the work that is expected to be done again. A prefill has
-    // the engine for itself; a generation shares it with the other slots.
+    // Price of the engine time that the request uses, plus the expected price of repeating work after a reclaim. A prefill occupies the
+    // whole engine; a generation shares it with the other slots.
     double expectedCost(const RouteCandidate& candidate, const RouteRequest& request, const RouteOptions& options)
     {
         double prefill = uncachedTokens(candidate, request, options) / options.prefillTokensPerSecond;
@@ -33,72 +36,72 @@
             return cost;
         double duration = prefill + generation;
         double reclaimProbability = std::min(1.0, options.reclaimsPerHour * duration / secondsPerHour);
-        // On average half of the generation is done when the reclaim comes; the whole prompt is prefilled again.
+        // On average a reclaim happens halfway through the request, and the complete prompt has to be prefilled again.
         double lostSeconds = request.promptTokens / options.prefillTokensPerSecond + duration / 2;
         return cost + options.recomputeWeight * reclaimProbability * lostSeconds * pricePerSecond;
     }
 
-    RouteDecision decided(std::size_t candidate, const std::string& reason)
+    RouteDecision decisionFor(std::size_t candidate, const std::string& reason)
     {
         return { .candidate = candidate, .reason = reason };
     }
 
     RouteDecision chooseRandom(const std::vector<RouteCandidate>& candidates, std::uint64_t random)
     {
-        return candidates.empty() ? RouteDecision { .reason = noEndpoint } : decided(random % candidates.size(), "random");
+        return candidates.empty() ? RouteDecision { .reason = noEndpoint } : decisionFor(random % candidates.size(), "random");
     }
 
-    unsigned reportedLoad(const RouteCandidate& candidate) { return candidate.load.reportedRunning + candidate.load.reportedQueued; }
+    unsigned reportedRequests(const RouteCandidate& candidate) { return candidate.load.reportedRunning + candidate.load.reportedQueued; }
 
     RouteDecision chooseLeastReported(const std::vector<RouteCandidate>& candidates)
     {
         if (candidates.empty())
             return { .reason = noEndpoint };
-        auto best = std::min_element(candidates.begin(), candidates.end(), [](const auto& left, const auto& right) { return reportedLoad(left) < reportedLoad(right); });
-        return decided(static_cast<std::size_t>(best - candidates.begin()), "least reported load");
+        auto best = std::min_element(candidates.begin(), candidates.end(), [](const auto& left, const auto& right) { return reportedRequests(left) < reportedRequests(right); });
+        return decisionFor(static_cast<std::size_t>(best - candidates.begin()), "least reported load");
     }
 
-    RouteDecision chooseOfTwo(const std::vector<RouteCandidate>& candidates, std::uint64_t random)
+    RouteDecision chooseLessLoadedOfTwo(const std::vector<RouteCandidate>& candidates, std::uint64_t random)
     {
         if (candidates.empty())
             return { .reason = noEndpoint };
         auto first = random % candidates.size();
         auto second = (random / candidates.size()) % candidates.size();
-        bool firstIsBetter = loadOf(candidates[first].load) <= loadOf(candidates[second].load);
-        return decided(firstIsBetter ? first : second, "less loaded of two");
+        bool firstIsBetter = estimatedRequests(candidates[first].load) <= estimatedRequests(candidates[second].load);
+        return decisionFor(firstIsBetter ? first : second, "less loaded of two");
     }
 
 } // namespace
 
 double uncachedTokens(const RouteCandidate& candidate, const RouteRequest& request, const RouteOptions& options)
 {
-    return request.promptTokens * (candidate.load.prefixCached ? 1 - options.cachedPart : 1);
+    return request.promptTokens * (candidate.load.prefixCached ? 1 - options.cachedFraction : 1);
 }
 
 double expectedWaitSeconds(const RouteCandidate& candidate, const RouteOptions& options)
 {
     const auto& load = candidate.load;
-    auto ahead = loadOf(load);
-    double forSlot = 0;
+    auto ahead = estimatedRequests(load);
+    double slotWait = 0;
     if (ahead >= options.batchSlots)
-        forSlot = (ahead - options.batchSlots + 1) * options.slotTurnSeconds / options.batchSlots;
-    return forSlot + load.backlogTokens / options.prefillTokensPerSecond;
+        slotWait = (ahead - options.batchSlots + 1) * options.slotTurnoverSeconds / options.batchSlots;
+    return slotWait + load.backlogTokens / options.prefillTokensPerSecond;
 }
 
 double expectedFirstTokenSeconds(const RouteCandidate& candidate, const RouteRequest& request, const RouteOptions& options)
 {
     double prefill = uncachedTokens(candidate, request, options) / options.prefillTokensPerSecond;
-    double firstStep = options.tokenSeconds * (1 + loadOf(candidate.load) / static_cast<double>(options.batchSlots));
-    return expectedWaitSeconds(candidate, options) + prefill + firstStep;
+    double firstTokenTime = options.tokenSeconds * (1 + estimatedRequests(candidate.load) / static_cast<double>(options.batchSlots));
+    return expectedWaitSeconds(candidate, options) + prefill + firstTokenTime;
 }
 
-bool isTimely(const RouteCandidate& candidate, const RouteRequest& request, const RouteOptions& options, double part)
+bool isTimely(const RouteCandidate& candidate, const RouteRequest& request, const RouteOptions& options, double objectiveFraction)
 {
-    double limit = part * std::chrono::duration<double>(request.objective.firstToken).count();
-    if (expectedFirstTokenSeconds(candidate, request, options) <= limit)
+    double maxSeconds = objectiveFraction * std::chrono::duration<double>(request.objective.firstToken).count();
+    if (expectedFirstTokenSeconds(candidate, request, options) <= maxSeconds)
         return true;
-    bool hasRoom = loadOf(candidate.load) < roomyPartOfSlots * options.batchSlots;
-    return hasRoom && expectedWaitSeconds(candidate, options) <= idleWaitSeconds;
+    bool hasFreeSlots = estimatedRequests(candidate.load) < roomySlotFraction * options.batchSlots;
+    return hasFreeSlots && expectedWaitSeconds(candidate, options) <= idleWaitSeconds;
 }
 
 Result<RoutePolicy> routePolicyNamed(const std::string& name)
@@ -111,7 +114,7 @@
     if (name == "least-reported-load")
         return RoutePolicy([](const Candidates& candidates, const RouteRequest&, const RouteOptions&, std::uint64_t) { return chooseLeastReported(candidates); });
     if (name == "two-choices")
-        return RoutePolicy([](const Candidates& candidates, const RouteRequest&, const RouteOptions&, std::uint64_t random) { return chooseOfTwo(candidates, random); });
+        return RoutePolicy([](const Candidates& candidates, const RouteRequest&, const RouteOptions&, std::uint64_t random) { return chooseLessLoadedOfTwo(candidates, random); });
     return Error { ErrorCode::InvalidArgument, "unknown routing policy '" + name + "'" };
 }
 
@@ -120,15 +123,15 @@
     RouteDecision fastest { .candidate = std::nullopt, .reason = noEndpoint };
     RouteDecision cheapest;
     double lowestCost = 0;
-    double limit = usablePartOfObjective * std::chrono::duration<double>(request.objective.firstToken).count();
+    double maxSeconds = usableObjectiveFraction * std::chrono::duration<double>(request.objective.firstToken).count();
     for (std::size_t n = 0; n < candidates.size(); ++n) {
         auto seconds = expectedFirstTokenSeconds(candidates[n], request, options);
         if (!fastest.candidate || seconds < fastest.expectedFirstTokenSeconds)
             fastest = { .candidate = n, .expectedFirstTokenSeconds = seconds, .reason = "fastest; none is expected to meet the objective" };
-        if (seconds > limit)
+        if (seconds > maxSeconds)
             continue;
-        // Of about equal costs the sooner one.
-        auto cost = expectedCost(candidates[n], request, options) * (1 + soonerWeight * seconds);
+        // Among candidates of similar cost the faster one is preferred.
+        auto cost = expectedCost(candidates[n], request, options) * (1 + latencyWeight * seconds);
         if (cheapest.candidate && cost >= lowestCost)
             continue;
         lowestCost = cost;
--- a/tests/modules/routing/test_endpoint_subset.cpp
+++ b/tests/modules/routing/test_endpoint_subset.cpp
@@ -26,18 +26,18 @@
 
 BOOST_AUTO_TEST_SUITE(EndpointSubsets)
 
-BOOST_AUTO_TEST_CASE(a_part_is_bounded_for_each_model_and_small_sites_are_whole)
+BOOST_AUTO_TEST_CASE(a_subset_is_bounded_for_each_model_and_complete_for_few_endpoints)
 {
     auto endpoints = endpointsOf(500, "a");
-    auto few = endpointsOf(3, "b");
-    endpoints.insert(endpoints.end(), few.begin(), few.end());
+    auto fewEndpoints = endpointsOf(3, "b");
+    endpoints.insert(endpoints.end(), fewEndpoints.begin(), fewEndpoints.end());
     endpoints.push_back({ .id = "still-loading" });
     BOOST_CHECK_EQUAL(chooseSubset(endpoints, "node", 64).size(), 64 + 3);
     BOOST_CHECK(chooseSubset(endpoints, "node", 64) == chooseSubset(endpoints, "node", 64));
     BOOST_CHECK(idsOf(chooseSubset(endpoints, "node", 64)) != idsOf(chooseSubset(endpoints, "other", 64)));
 }
 
-BOOST_AUTO_TEST_CASE(losing_an_endpoint_changes_one_place)
+BOOST_AUTO_TEST_CASE(losing_an_endpoint_replaces_only_that_endpoint)
 {
     auto endpoints = endpointsOf(500, "a");
     auto before = idsOf(chooseSubset(endpoints, "node", 64));
