--- a/modules/report/request_account.cpp
+++ b/modules/report/request_account.cpp
@@ -10,11 +10,11 @@
 
     using Json = nlohmann::json;
 
-    std::string textOf(const LogLine& line, const char* name) { return line.fields.value(name, std::string()); }
-    long numberOf(const LogLine& line, const char* name) { return line.fields.value(name, 0L); }
+    std::string textField(const LogLine& line, const char* name) { return line.fields.value(name, std::string()); }
+    long numberField(const LogLine& line, const char* name) { return line.fields.value(name, 0L); }
 
-    // Sentences for the outcomes that the request's line can name.
-    const std::map<std::string, std::string>& causes()
+    // Explanations of the values of `outcome` in the log line of a request.
+    const std::map<std::string, std::string>& causeSentences()
     {
         static const std::map<std::string, std::string> sentences {
             { "team_limit", "Its team was at its limit over all nodes; nothing was sent. See the team's other lines of the seconds before." },
@@ -42,136 +42,136 @@
 
     bool isSuccess(const std::string& outcome) { return outcome == "answered" || outcome == "streamed"; }
 
-    class Account {
+    class AccountWriter {
     public:
-        Account(const ParsedLog& log, const std::string& requestId, const AccountOptions& options)
+        AccountWriter(const ParsedLog& log, const std::string& requestId, const AccountOptions& options)
             : m_log(log)
             , m_options(options)
         {
             for (const auto& it : log.lines) {
-                if (textOf(it, "request_id") == requestId)
-                    m_own.push_back(&it);
+                if (textField(it, "request_id") == requestId)
+                    m_requestLines.push_back(&it);
             }
-            std::stable_sort(m_own.begin(), m_own.end(), [](const auto* left, const auto* right) { return left->milliseconds < right->milliseconds; });
+            std::stable_sort(m_requestLines.begin(), m_requestLines.end(), [](const auto* left, const auto* right) { return left->milliseconds < right->milliseconds; });
         }
 
         std::string text()
         {
-            if (m_own.empty())
+            if (m_requestLines.empty())
                 return {};
-            m_from = m_own.front()->milliseconds;
-            m_until = m_own.back()->milliseconds;
-            addStateBefore();
-            addOwnLines();
+            m_startMilliseconds = m_requestLines.front()->milliseconds;
+            m_endMilliseconds = m_requestLines.back()->milliseconds;
+            addStateAtStart();
+            addRequestLines();
             addEndpoints();
-            addSameRequest();
-            addRests();
-            addLimits();
+            addAttemptsOfSameContent();
+            addBackoffs();
+            addAdvertisedLimits();
             addCause();
             return m_text;
         }
 
     private:
-        void add(const LogLine& line, const std::string& words)
+        void add(const LogLine& line, const std::string& message)
         {
-            auto offset = static_cast<long>(line.milliseconds) - static_cast<long>(m_from);
-            m_text += (offset < 0 ? "" : "+") + std::to_string(offset) + " ms  " + line.instance + "  " + words + "\n";
+            auto offset = static_cast<long>(line.milliseconds) - static_cast<long>(m_startMilliseconds);
+            m_text += (offset < 0 ? "" : "+") + std::to_string(offset) + " ms  " + line.instance + "  " + message + "\n";
         }
 
-        // What the request's node had last said of its configuration and of the store.
-        void addStateBefore()
+        // Adds the last lines before the request in which its node logged its configuration and the state of its connection to the store.
+        void addStateAtStart()
         {
             for (const auto& events : { std::set<std::string> { "configuration_in_force" }, std::set<std::string> { "store_lost", "store_regained", "store_reached" } }) {
                 const LogLine* last = nullptr;
                 for (const auto& it : m_log.lines) {
-                    bool before = it.instance == m_own.front()->instance && events.contains(it.event) && it.milliseconds <= m_from;
-                    if (before && (!last || it.milliseconds >= last->milliseconds))
+                    bool isBefore = it.instance == m_requestLines.front()->instance && events.contains(it.event) && it.milliseconds <= m_startMilliseconds;
+                    if (isBefore && (!last || it.milliseconds >= last->milliseconds))
                         last = &it;
                 }
                 if (last)
-                    add(*last, last->event + (last->event == "configuration_in_force" ? " version " + std::to_string(numberOf(*last, "version")) + ", from " + textOf(*last, "source") : ""));
+                    add(*last, last->event + (last->event == "configuration_in_force" ? " version " + std::to_string(numberField(*last, "version")) + ", from " + textField(*last, "source") : ""));
             }
         }
 
-        void addOwnLines()
+        void addRequestLines()
         {
-            for (const auto* it : m_own) {
-                auto endpoint = textOf(*it, "endpoint");
+            for (const auto* it : m_requestLines) {
+                auto endpoint = textField(*it, "endpoint");
                 if (!endpoint.empty())
                     m_endpoints.insert(endpoint);
                 if (m_digest.empty())
-                    m_digest = textOf(*it, "digest");
+                    m_digest = textField(*it, "digest");
                 if (it->event == "try_failed")
-                    add(*it, "try " + std::to_string(numberOf(*it, "try")) + " at " + endpoint + " ended: " + textOf(*it, "end") + " after " + std::to_string(numberOf(*it, "ms")) + " ms (expected " + std::to_string(numberOf(*it, "expected_ms")) + " ms), " + std::to_string(numberOf(*it, "events")) + " events passed on");
+                    add(*it, "try " + std::to_string(numberField(*it, "try")) + " at " + endpoint + " ended: " + textField(*it, "end") + " after " + std::to_string(numberField(*it, "ms")) + " ms (expected " + std::to_string(numberField(*it, "expected_ms")) + " ms), " + std::to_string(numberField(*it, "events")) + " events passed on");
                 else if (it->event == "request")
-                    addEnd(*it);
+                    addEndLine(*it);
                 else
                     add(*it, it->event);
             }
         }
 
-        void addEnd(const LogLine& line)
+        void addEndLine(const LogLine& line)
         {
-            m_end = &line;
-            add(line, "ended: " + textOf(line, "outcome") + ", status " + std::to_string(numberOf(line, "status")) + " after " + std::to_string(numberOf(line, "ms")) + " ms; route " + textOf(line, "route") + ", team " + textOf(line, "team") + ", configuration " + std::to_string(numberOf(line, "configuration")) + ", tries " + std::to_string(numberOf(line, "tries")));
-            if (!textOf(line, "endpoint").empty())
-                m_text += "    chosen by " + textOf(line, "choice") + ": expected " + std::to_string(numberOf(line, "expected_ms")) + " ms, " + std::to_string(numberOf(line, "uncached_tokens")) + " tokens to read, "
-                    + std::to_string(numberOf(line, "waiting_tokens")) + " waiting before it; first event after " + std::to_string(numberOf(line, "first_event_ms")) + " ms\n";
+            m_endLine = &line;
+            add(line, "ended: " + textField(line, "outcome") + ", status " + std::to_string(numberField(line, "status")) + " after " + std::to_string(numberField(line, "ms")) + " ms; route " + textField(line, "route") + ", team " + textField(line, "team") + ", configuration " + std::to_string(numberField(line, "configuration")) + ", tries " + std::to_string(numberField(line, "tries")));
+            if (!textField(line, "endpoint").empty())
+                m_text += "    chosen by " + textField(line, "choice") + ": expected " + std::to_string(numberField(line, "expected_ms")) + " ms, " + std::to_string(numberField(line, "uncached_tokens")) + " tokens to read, "
+                    + std::to_string(numberField(line, "waiting_tokens")) + " waiting before it; first event after " + std::to_string(numberField(line, "first_event_ms")) + " ms\n";
         }
 
-        // One line for each thing that happened, though many nodes tell it.
+        // Adds the changes of the endpoints that the request was sent to. The same change logged by several nodes is added once.
         void addEndpoints()
         {
-            std::set<std::string> told;
+            std::set<std::string> added;
             for (const auto& it : m_log.lines) {
-                bool near = it.milliseconds + m_options.contextMilliseconds >= m_from && it.milliseconds <= m_until + m_options.contextMilliseconds;
-                bool about = (it.event == "endpoint_listed" || it.event == "endpoint_gone") && m_endpoints.contains(textOf(it, "endpoint"));
-                if (!near || !about)
+                bool isNear = it.milliseconds + m_options.contextMilliseconds >= m_startMilliseconds && it.milliseconds <= m_endMilliseconds + m_options.contextMilliseconds;
+                bool isRelevant = (it.event == "endpoint_listed" || it.event == "endpoint_gone") && m_endpoints.contains(textField(it, "endpoint"));
+                if (!isNear || !isRelevant)
                     continue;
-                auto words = textOf(it, "endpoint") + (it.event == "endpoint_gone" ? " gone" : numberOf(it, "leaving") != 0 ? " leaving"
-                                                                                                                            : " listed");
-                if (told.insert(words).second)
-                    add(it, words);
+                auto message = textField(it, "endpoint") + (it.event == "endpoint_gone" ? " gone" : numberField(it, "leaving") != 0 ? " leaving"
+                                                                                                                                    : " listed");
+                if (added.insert(message).second)
+                    add(it, message);
             }
         }
 
-        // Tries of the same request under other ids, at endpoints that broke under it.
-        void addSameRequest()
+        // Adds failed attempts of requests with the same content (digest) and other ids, in which an endpoint's answer broke off.
+        void addAttemptsOfSameContent()
         {
             if (m_digest.empty())
                 return;
             for (const auto& it : m_log.lines) {
-                bool same = textOf(it, "digest") == m_digest && std::find(m_own.begin(), m_own.end(), &it) == m_own.end();
-                auto end = textOf(it, "end");
-                if (same && it.event == "try_failed" && (end == "broken" || end == "stream_broken"))
-                    add(it, "the same request, as " + textOf(it, "request_id") + ", ended at " + textOf(it, "endpoint") + ": " + end);
-                else if (same && it.event == "request_blocked")
-                    add(it, "the same request is blocked, after " + std::to_string(numberOf(it, "ended_endpoints")) + " endpoints ended under it");
+                bool isSameContent = textField(it, "digest") == m_digest && std::find(m_requestLines.begin(), m_requestLines.end(), &it) == m_requestLines.end();
+                auto end = textField(it, "end");
+                if (isSameContent && it.event == "try_failed" && (end == "broken" || end == "stream_broken"))
+                    add(it, "the same request, as " + textField(it, "request_id") + ", ended at " + textField(it, "endpoint") + ": " + end);
+                else if (isSameContent && it.event == "request_blocked")
+                    add(it, "the same request is blocked, after " + std::to_string(numberField(it, "ended_endpoints")) + " endpoints ended under it");
             }
         }
 
-        // What endpoints had asked of the request's node, as far as it still held when the request was refused.
-        void addRests()
+        // Adds the backoffs that endpoints had requested from the request's node and that were in effect when the request was refused.
+        void addBackoffs()
         {
-            if (!m_end || textOf(*m_end, "outcome") != "endpoints_rest")
+            if (!m_endLine || textField(*m_endLine, "outcome") != "endpoints_rest")
                 return;
             for (const auto& it : m_log.lines) {
-                auto rest = numberOf(it, "rest_ms");
-                bool holds = it.event == "endpoint_notice" && it.instance == m_end->instance && it.milliseconds <= m_end->milliseconds && it.milliseconds + std::max(0L, rest) > m_end->milliseconds;
-                if (holds)
-                    add(it, textOf(it, "endpoint") + " turned the node away and wants nothing from it for " + std::to_string(rest) + " ms");
+                auto backoff = numberField(it, "rest_ms");
+                bool isInEffect = it.event == "endpoint_notice" && it.instance == m_endLine->instance && it.milliseconds <= m_endLine->milliseconds && it.milliseconds + std::max(0L, backoff) > m_endLine->milliseconds;
+                if (isInEffect)
+                    add(it, textField(it, "endpoint") + " turned the node away and wants nothing from it for " + std::to_string(backoff) + " ms");
             }
         }
 
-        // What endpoints take, as some node had heard it last before the request was refused.
-        void addLimits()
+        // Adds each endpoint's last advertised limit, as logged by any node before the request was refused.
+        void addAdvertisedLimits()
         {
-            if (!m_end || textOf(*m_end, "outcome") != "endpoints_limited")
+            if (!m_endLine || textField(*m_endLine, "outcome") != "endpoints_limited")
                 return;
             std::map<std::string, const LogLine*> last;
             for (const auto& it : m_log.lines) {
-                auto& known = last[textOf(it, "endpoint")];
-                bool isLater = it.event == "endpoint_limit" && it.milliseconds <= m_end->milliseconds && (!known || it.milliseconds >= known->milliseconds);
+                auto& known = last[textField(it, "endpoint")];
+                bool isLater = it.event == "endpoint_limit" && it.milliseconds <= m_endLine->milliseconds && (!known || it.milliseconds >= known->milliseconds);
                 known = isLater ? &it : known;
             }
             for (const auto& [endpoint, line] : last) {
@@ -183,27 +183,27 @@
 
         void addCause()
         {
-            if (!m_end) {
+            if (!m_endLine) {
                 m_text += "Cause: no line tells its end: the process ended first, or the line was left out (request_lines_left_out).\n";
                 return;
             }
-            auto outcome = textOf(*m_end, "outcome");
-            auto known = causes().find(outcome);
-            m_text += "Cause: " + (known == causes().end() ? outcome : known->second);
-            bool endpointWent = m_text.find(" leaving\n") != std::string::npos || m_text.find(" gone\n") != std::string::npos;
-            if (!isSuccess(outcome) && endpointWent)
+            auto outcome = textField(*m_endLine, "outcome");
+            auto known = causeSentences().find(outcome);
+            m_text += "Cause: " + (known == causeSentences().end() ? outcome : known->second);
+            bool wasEndpointRemoved = m_text.find(" leaving\n") != std::string::npos || m_text.find(" gone\n") != std::string::npos;
+            if (!isSuccess(outcome) && wasEndpointRemoved)
                 m_text += " An endpoint that it was sent to was being taken away or died around then.";
             m_text += "\n";
         }
 
         const ParsedLog& m_log;
         AccountOptions m_options;
-        std::vector<const LogLine*> m_own {};
-        const LogLine* m_end { nullptr };
-        std::string m_digest {}; // Of the request; empty in logs that name none.
+        std::vector<const LogLine*> m_requestLines {};
+        const LogLine* m_endLine { nullptr };
+        std::string m_digest {}; // Digest of the request's content; empty if the logs have none.
         std::set<std::string> m_endpoints {};
-        std::uint64_t m_from { 0 };
-        std::uint64_t m_until { 0 };
+        std::uint64_t m_startMilliseconds { 0 };
+        std::uint64_t m_endMilliseconds { 0 };
         std::string m_text {};
     };
 
@@ -221,8 +221,8 @@
             continue;
         }
         auto fields = Json::parse(line.substr(brace), nullptr, false);
-        bool usable = fields.is_object() && fields.contains("time_ms") && fields["time_ms"].is_number_unsigned() && fields.contains("event") && fields["event"].is_string();
-        if (!usable) {
+        bool isUsable = fields.is_object() && fields.contains("time_ms") && fields["time_ms"].is_number_unsigned() && fields.contains("event") && fields["event"].is_string();
+        if (!isUsable) {
             ++log.skipped;
             continue;
         }
@@ -232,6 +232,6 @@
     }
 }
 
-std::string requestAccount(const ParsedLog& log, const std::string& requestId, const AccountOptions& options) { return Account(log, requestId, options).text(); }
+std::string requestAccount(const ParsedLog& log, const std::string& requestId, const AccountOptions& options) { return AccountWriter(log, requestId, options).text(); }
 
 } // namespace Onyxnotch
--- a/modules/report/request_account.h
+++ b/modules/report/request_account.h
@@ -1,4 +1,5 @@
-// What the logs of all nodes say of one request, joined into one account: pure text in, text out. docs/OPERATIONS.md walks through it.
+// Extracts from the logs of all nodes everything that concerns one request, and formats it as a timeline with the probable cause of its
+// outcome. Pure functions on text. See docs/OPERATIONS.md for an example.
 #pragma once
 
 #include <cstdint>
@@ -8,30 +9,31 @@
 
 namespace Onyxnotch {
 
-// One line of a process's log.
+// A parsed line of a process's log.
 struct LogLine {
-    std::uint64_t milliseconds { 0 }; // Time of day on its node.
+    std::uint64_t milliseconds { 0 }; // Milliseconds since 1970, by the clock of the node that wrote the line.
     std::string instance {};
     std::string event {};
-    nlohmann::json fields {}; // The whole line.
+    nlohmann::json fields {}; // All fields of the line's JSON object, including the ones above.
 
     bool operator==(const LogLine&) const = default;
 };
 
 struct ParsedLog {
     std::vector<LogLine> lines {};
-    std::size_t skipped { 0 }; // Lines that are no JSON objects with a time and an event.
+    std::size_t skipped { 0 }; // Number of lines that are not JSON objects with a time and an event.
 };
 
-// Adds the lines of a log file's text. What stands before the first brace of a line, such as a collector's own time, is passed over.
+// Parses the text of a log file and adds its lines to `log`. Text before the first brace of a line is ignored, e.g. the time stamp of a log
+// collector.
 void parseLog(const std::string& text, ParsedLog& log);
 
 struct AccountOptions {
-    std::uint64_t contextMilliseconds { 10000 }; // How far around the request its endpoints and its node are looked at.
+    std::uint64_t contextMilliseconds { 10000 }; // Time before and after the request within which changes of its endpoints are included.
 };
 
-// In the order of time: what was known when the request came, its tries, its end, what became of its endpoints, and the cause in a
-// sentence. Empty where no line names the request.
+// Returns the timeline of a request: the state of its node when it arrived, its attempts, its outcome, changes of the endpoints it was sent
+// to, and the cause in one sentence. Returns an empty string if no line has the request's id.
 std::string requestAccount(const ParsedLog&, const std::string& requestId, const AccountOptions& options = {});
 
 } // namespace Onyxnotch
--- a/tests/modules/report/test_burn_report.cpp
+++ b/tests/modules/report/test_burn_report.cpp
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(BurnReports)
 
-BOOST_AUTO_TEST_CASE(late_refused_and_cut_requests_burn_and_what_is_not_owed_does_not)
+BOOST_AUTO_TEST_CASE(late_refused_and_cut_requests_are_bad_and_exempt_ones_are_not_counted)
 {
     std::string text;
     for (unsigned long n = 0; n < 16; ++n)
@@ -31,12 +31,12 @@
     text += line(1000500, "team_limit", -1) + line(1000600, "caller_left", -1) + line(1000700, "no_route", -1, "");
     auto report = burnReport(parsed(text));
     BOOST_REQUIRE(report.rows.size() == 1U);
-    BOOST_TEST((report.rows[0].slow == BurnCounts { .asked = 20, .bad = 4 }));
+    BOOST_TEST((report.rows[0].slow == BurnCounts { .counted = 20, .bad = 4 }));
     BOOST_TEST(report.rows[0].fastBurn == 4.0, boost::test_tools::tolerance(1e-9));
-    BOOST_TEST(report.rows[0].mostly == "stream_cut");
+    BOOST_TEST(report.rows[0].commonBadOutcome == "stream_cut");
 }
 
-BOOST_AUTO_TEST_CASE(what_is_over_burns_in_the_slow_window_only)
+BOOST_AUTO_TEST_CASE(an_ended_incident_burns_in_the_slow_window_only)
 {
     auto report = burnReport(parsed(line(1000000, "stream_cut", 1) + line(2000000, "answered", 10)));
     BOOST_REQUIRE(report.rows.size() == 1U);
@@ -45,11 +45,11 @@
     BOOST_TEST(report.plots.at("read").size() == 101U);
 }
 
-BOOST_AUTO_TEST_CASE(text_and_page_name_what_was_left_out)
+BOOST_AUTO_TEST_CASE(text_and_page_state_the_number_of_dropped_lines)
 {
     auto log = parsed(line(1000, "answered", 10, "a<b") + R"({"time_ms":1000,"event":"request_lines_left_out","instance":"n","count":7})");
     auto report = burnReport(log);
-    BOOST_TEST(report.leftOut == 7U);
+    BOOST_TEST(report.droppedLines == 7U);
     BOOST_TEST(burnReportText(report).find("7 lines were left out") != std::string::npos);
     auto page = burnReportPage(report);
     BOOST_TEST(page.find("a&lt;b") != std::string::npos);
--- a/tests/modules/report/test_request_account.cpp
+++ b/tests/modules/report/test_request_account.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Lines as onyxnotch-entry writes them, shortened.
+// Log lines as written by onyxnotch-entry, with some fields left out.
 constexpr auto logText = R"(
 {"time_ms":1000,"event":"configuration_in_force","instance":"n-1","version":4,"source":"peer"}
 {"time_ms":2000,"event":"configuration_in_force","instance":"n-1","version":7,"source":"store"}
@@ -28,13 +28,13 @@
     return log;
 }
 
-bool holds(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(RequestAccounts)
 
-BOOST_AUTO_TEST_CASE(lines_that_are_not_ours_are_counted)
+BOOST_AUTO_TEST_CASE(lines_that_cannot_be_parsed_are_counted)
 {
     BOOST_TEST(parsed().lines.size() == 9U);
     BOOST_TEST(parsed().skipped == 2U);
@@ -43,25 +43,25 @@
 BOOST_AUTO_TEST_CASE(a_cut_stream_is_traced_to_its_endpoint)
 {
     auto text = requestAccount(parsed(), "r-1");
-    BOOST_TEST(holds(text, "configuration_in_force version 7, from store"));
-    BOOST_TEST(!holds(text, "version 4"));
-    BOOST_TEST(holds(text, "store_lost"));
-    BOOST_TEST(holds(text, "try 1 at i-1 ended: stream_broken after 900 ms (expected 80 ms), 10 events passed on"));
-    BOOST_TEST(holds(text, "ended: stream_cut, status 200 after 1551 ms"));
-    BOOST_TEST(holds(text, "-200 ms  n-2  i-1 leaving"));
-    BOOST_TEST(!holds(text, "gone\n"));
-    BOOST_TEST(holds(text, "was being taken away or died around then"));
+    BOOST_TEST(contains(text, "configuration_in_force version 7, from store"));
+    BOOST_TEST(!contains(text, "version 4"));
+    BOOST_TEST(contains(text, "store_lost"));
+    BOOST_TEST(contains(text, "try 1 at i-1 ended: stream_broken after 900 ms (expected 80 ms), 10 events passed on"));
+    BOOST_TEST(contains(text, "ended: stream_cut, status 200 after 1551 ms"));
+    BOOST_TEST(contains(text, "-200 ms  n-2  i-1 leaving"));
+    BOOST_TEST(!contains(text, "gone\n"));
+    BOOST_TEST(contains(text, "was being taken away or died around then"));
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_names_its_limit)
+BOOST_AUTO_TEST_CASE(a_refusal_by_the_team_limit_states_that_cause)
 {
     auto text = requestAccount(parsed(), "r-2");
-    BOOST_TEST(holds(text, "status 429"));
-    BOOST_TEST(holds(text, "Cause: Its team was at its limit"));
-    BOOST_TEST(!holds(text, "i-1"));
+    BOOST_TEST(contains(text, "status 429"));
+    BOOST_TEST(contains(text, "Cause: Its team was at its limit"));
+    BOOST_TEST(!contains(text, "i-1"));
 }
 
-BOOST_AUTO_TEST_CASE(a_blocked_request_is_traced_to_the_endpoints_that_it_ended)
+BOOST_AUTO_TEST_CASE(a_blocked_request_is_traced_to_the_endpoints_that_ended_under_it)
 {
     ParsedLog log;
     parseLog(R"(
@@ -73,14 +73,14 @@
 )",
         log);
     auto text = requestAccount(log, "r-4");
-    BOOST_TEST(holds(text, "the same request, as r-1, ended at i-1: broken"));
-    BOOST_TEST(holds(text, "the same request, as r-2, ended at i-2: stream_broken"));
-    BOOST_TEST(holds(text, "is blocked, after 3 endpoints ended under it"));
-    BOOST_TEST(!holds(text, "i-9"));
-    BOOST_TEST(holds(text, "Cause: Endpoints have ended under this same request"));
+    BOOST_TEST(contains(text, "the same request, as r-1, ended at i-1: broken"));
+    BOOST_TEST(contains(text, "the same request, as r-2, ended at i-2: stream_broken"));
+    BOOST_TEST(contains(text, "is blocked, after 3 endpoints ended under it"));
+    BOOST_TEST(!contains(text, "i-9"));
+    BOOST_TEST(contains(text, "Cause: Endpoints have ended under this same request"));
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_for_rest_is_traced_to_who_asked_for_it)
+BOOST_AUTO_TEST_CASE(a_refusal_due_to_backoff_is_traced_to_the_endpoints_that_requested_it)
 {
     ParsedLog log;
     parseLog(R"(
@@ -92,15 +92,15 @@
 )",
         log);
     auto text = requestAccount(log, "r-5");
-    BOOST_TEST(holds(text, "i-2 turned the node away and wants nothing from it for 3000 ms"));
+    BOOST_TEST(contains(text, "i-2 turned the node away and wants nothing from it for 3000 ms"));
     for (const auto* other : { "i-1", "i-3", "i-4" })
-        BOOST_TEST(!holds(text, other));
-    BOOST_TEST(holds(text, "Cause: Every endpoint of the service that could run it had turned this node away"));
+        BOOST_TEST(!contains(text, other));
+    BOOST_TEST(contains(text, "Cause: Every endpoint of the service that could run it had turned this node away"));
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_no_line_names_has_no_account) { BOOST_TEST(requestAccount(parsed(), "r-3").empty()); }
+BOOST_AUTO_TEST_CASE(an_unknown_request_id_gives_an_empty_timeline) { BOOST_TEST(requestAccount(parsed(), "r-3").empty()); }
 
-BOOST_AUTO_TEST_CASE(it_names_what_endpoints_take_where_that_is_used_up)
+BOOST_AUTO_TEST_CASE(a_refusal_due_to_advertised_limits_lists_the_limits)
 {
     ParsedLog log;
     parseLog(R"({"time_ms":1000,"event":"endpoint_limit","instance":"n-1","request_id":"r-1","endpoint":"i-1","per_s":4.0}
