--- a/modules/control/endpoint_history.cpp
+++ b/modules/control/endpoint_history.cpp
@@ -154,7 +154,7 @@
 Result<bool> EndpointHistory::apply(const nlohmann::json& page)
 {
     if (!isWellFormedPage(page))
-        return Error { ErrorCode::InvalidArgument, "no page of endpoints" };
+        return Error { ErrorCode::InvalidArgument, "malformed endpoint page" };
     auto revision = page["revision"].get<std::uint64_t>();
     if (revision <= m_revision)
         return false;
@@ -162,7 +162,7 @@
     // The digests differ if this node has an entry that was added and removed between two revisions that the other node has seen.
     if (change.digest != page["digest"].get<std::uint64_t>()) {
         m_needsAllEntries = true;
-        return Error { ErrorCode::Conflict, "the other node's changes do not follow this one's entries" };
+        return Error { ErrorCode::Conflict, "endpoint digest mismatch: the peer missed a change that this node has seen" };
     }
     advanceTo(revision);
     for (auto& [id, entry] : change.written)
--- a/modules/control/endpoint_registry.cpp
+++ b/modules/control/endpoint_registry.cpp
@@ -67,16 +67,16 @@
         m_missingUntil.erase(id);
         remove(id, now);
     }
-    bool recovering = isRecovering(lastStoreFailure, now);
+    bool isAfterOutage = isRecovering(lastStoreFailure, now);
     bool isMassRemoval = countNewlyMissing(entries) >= m_options.massRemovalCount;
-    auto listedUntil = recovering ? lastStoreFailure + m_options.entryRenewalTime : now + m_options.massRemovalHold - std::min(age, m_options.massRemovalHold);
+    auto listedUntil = isAfterOutage ? lastStoreFailure + m_options.entryRenewalTime : now + m_options.massRemovalHold - std::min(age, m_options.massRemovalHold);
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         if (entries.contains(it->first)) {
             m_missingUntil.erase(it->first);
             ++it;
             continue;
         }
-        if (recovering || isMassRemoval)
+        if (isAfterOutage || isMassRemoval)
             m_missingUntil.try_emplace(it->first, listedUntil);
         if (m_missingUntil.contains(it->first))
             ++it;
--- a/modules/control/store_follower.cpp
+++ b/modules/control/store_follower.cpp
@@ -64,7 +64,7 @@
 void StoreFollower::logUnnamed(const StoreObjects& objects)
 {
     if (objects.unnamed > 0 && m_unnamedLogBudget.take(steadyNow()))
-        logEvent(LogLevel::Warning, "store_objects_refused", { { "kind", nameOf(m_kind) }, { "count", objects.unnamed }, { "error", "no name can be read" } });
+        logEvent(LogLevel::Warning, "store_objects_refused", { { "kind", nameOf(m_kind) }, { "count", objects.unnamed }, { "error", "objects without a readable name" } });
 }
 
 asio::awaitable<void> StoreFollower::run()
--- a/modules/report/request_account.cpp
+++ b/modules/report/request_account.cpp
@@ -42,9 +42,9 @@
 
     bool isSuccess(const std::string& outcome) { return outcome == "answered" || outcome == "streamed"; }
 
-    class AccountWriter {
+    class TimelineWriter {
     public:
-        AccountWriter(const ParsedLog& log, const std::string& requestId, const AccountOptions& options)
+        TimelineWriter(const ParsedLog& log, const std::string& requestId, const RequestTimelineOptions& options)
             : m_log(log)
             , m_options(options)
         {
@@ -197,7 +197,7 @@
         }
 
         const ParsedLog& m_log;
-        AccountOptions m_options;
+        RequestTimelineOptions m_options;
         std::vector<const LogLine*> m_requestLines {};
         const LogLine* m_endLine { nullptr };
         std::string m_digest {}; // Digest of the request's content; empty if the logs have none.
@@ -232,6 +232,6 @@
     }
 }
 
-std::string requestAccount(const ParsedLog& log, const std::string& requestId, const AccountOptions& options) { return AccountWriter(log, requestId, options).text(); }
+std::string requestAccount(const ParsedLog& log, const std::string& requestId, const RequestTimelineOptions& options) { return TimelineWriter(log, requestId, options).text(); }
 
 } // namespace Onyxnotch
--- a/modules/report/request_account.h
+++ b/modules/report/request_account.h
@@ -28,12 +28,12 @@
 // collector.
 void parseLog(const std::string& text, ParsedLog& log);
 
-struct AccountOptions {
+struct RequestTimelineOptions {
     std::uint64_t contextMilliseconds { 10000 }; // Time before and after the request within which changes of its endpoints are included.
 };
 
 // Returns the timeline of a request: the state of its node when it arrived, its attempts, its outcome, changes of the endpoints it was sent
 // to, and the cause in one sentence. Returns an empty string if no line has the request's id.
-std::string requestAccount(const ParsedLog&, const std::string& requestId, const AccountOptions& options = {});
+std::string requestAccount(const ParsedLog&, const std::string& requestId, const RequestTimelineOptions& options = {});
 
 } // namespace Onyxnotch
--- a/modules/routing/route.cpp
+++ b/modules/routing/route.cpp
@@ -12,7 +12,7 @@
     // An engine with at most this expected wait and less than this fraction of its slots in use may start a request that takes longer than
     // its objective in any case.
     constexpr double idleWaitSeconds = 0.005;
-    constexpr double roomySlotFraction = 0.5;
+    constexpr double maxBusySlotFraction = 0.5;
     constexpr auto noEndpoint = "no endpoint serves this model";
     // The remaining fraction of the objective is a reserve for what the estimate does not cover: network time and the delay of load
     // reports.
@@ -100,7 +100,7 @@
     double maxSeconds = objectiveFraction * std::chrono::duration<double>(request.objective.firstToken).count();
     if (expectedFirstTokenSeconds(candidate, request, options) <= maxSeconds)
         return true;
-    bool hasFreeSlots = estimatedRequests(candidate.load) < roomySlotFraction * options.batchSlots;
+    bool hasFreeSlots = estimatedRequests(candidate.load) < maxBusySlotFraction * options.batchSlots;
     return hasFreeSlots && expectedWaitSeconds(candidate, options) <= idleWaitSeconds;
 }
 
