--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,4 +1,5 @@
-// Plays soaks by seed and tells which promises broke.
+// Runs one soak per seed and prints a summary, the violated guarantees and the log lines about the requests that they concern. Exits with a
+// failure if any guarantee was violated.
 #include "core/command_line.h"
 #include "tests/soak/soak_run.h"
 #include <iostream>
@@ -22,7 +23,7 @@
   --steady       Endpoints that crashed are replaced, and a stop holds up no other fault.
 )";
 
-unsigned long numberOf(const Onyxnotch::CommandLine& arguments, const std::string& name) { return std::stoul(arguments.text(name)); }
+unsigned long numberOption(const Onyxnotch::CommandLine& arguments, const std::string& name) { return std::stoul(arguments.text(name)); }
 
 } // namespace
 
@@ -31,20 +32,20 @@
     using namespace Onyxnotch;
     CommandLine arguments(usage, argc, argv);
     unsigned broken = 0;
-    auto first = numberOf(arguments, "--from");
-    for (auto seed = first; seed < first + numberOf(arguments, "--seeds"); ++seed) {
+    auto first = numberOption(arguments, "--from");
+    for (auto seed = first; seed < first + numberOption(arguments, "--seeds"); ++seed) {
         Tests::SoakOptions options {
             .seed = seed,
-            .duration = Milliseconds(1000 * numberOf(arguments, "--seconds")),
-            .nodes = static_cast<unsigned>(numberOf(arguments, "--nodes")),
-            .endpoints = static_cast<unsigned>(numberOf(arguments, "--endpoints")),
-            .callers = static_cast<unsigned>(numberOf(arguments, "--callers")),
+            .duration = Milliseconds(1000 * numberOption(arguments, "--seconds")),
+            .nodes = static_cast<unsigned>(numberOption(arguments, "--nodes")),
+            .endpoints = static_cast<unsigned>(numberOption(arguments, "--endpoints")),
+            .callers = static_cast<unsigned>(numberOption(arguments, "--callers")),
             .notices = arguments.flag("--notices"),
             .limits = arguments.flag("--limits"),
             .steady = arguments.flag("--steady"),
         };
-        auto result = Tests::SoakRun(options).play();
-        std::cout << "seed " << seed << ": " << result.faults << " faults, " << result.asked << " asked, " << result.answered << " answered, " << result.refused << " refused, " << result.crashes
+        auto result = Tests::SoakRun(options).run();
+        std::cout << "seed " << seed << ": " << result.faults << " faults, " << result.requestCount << " asked, " << result.answeredCount << " answered, " << result.refusedCount << " refused, " << result.crashedEndpoints
                   << " endpoints crashed, " << result.broken.size() << " promises broken" << std::endl;
         for (const auto& it : result.broken) {
             ++broken;
