--- a/main/entry_settings.cpp
+++ b/main/entry_settings.cpp
@@ -1,7 +1,7 @@
 #include "main/entry_settings.h"
 
 #include "core/settings_file.h"
-#include "platform/settings_words.h"
+#include "platform/duty_names.h"
 #include "platform/wire_names.h"
 #include <nlohmann/json.hpp>
 
@@ -142,8 +142,8 @@
         entry.duties.usage.windowMilliseconds = entry.forward.usageWindowMilliseconds;
         entry.duties.usage.dueMilliseconds = static_cast<std::uint64_t>(secondsOf(document["usageDueSeconds"]).count());
         auto duties = document["duties"].get<std::vector<std::string>>();
-        entry.duties.reportsUsage = hasCloud && Platform::namesUsageReports(duties);
-        entry.duties.ordersEndpoints = hasCloud && Platform::namesEndpointOrders(duties);
+        entry.duties.reportsUsage = hasCloud && Platform::includesUsageReports(duties);
+        entry.duties.ordersEndpoints = hasCloud && Platform::includesEndpointOrders(duties);
         settings.logLevel = parseLogLevel(document["logLevel"].get<std::string>());
         return settings;
     }
--- a/tests/platform/test_decoders.cpp
+++ b/tests/platform/test_decoders.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(PlatformDecoderTests)
 
-BOOST_AUTO_TEST_CASE(a_configuration)
+BOOST_AUTO_TEST_CASE(decodes_a_complete_configuration)
 {
     auto document = nlohmann::json::parse(R"({"version":7,"routes":[
         {"name":"r1","host":"h.example","pathPrefix":"/a/","routeKind":"streaming","timeoutMs":15000,"goalMs":1000,"priority":1,
@@ -38,7 +38,7 @@
     BOOST_TEST((declaration.limits.idleTimeout == Milliseconds(15000)));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_understood_is_an_error)
+BOOST_AUTO_TEST_CASE(incomplete_or_mistyped_documents_are_errors)
 {
     for (const auto* text : { "{}", R"({"version":1})", R"({"version":1,"routes":[{"name":"r"}],"services":[]})", R"({"version":"x","routes":[],"services":[]})" })
         BOOST_TEST(!Platform::decodeDeclaration(nlohmann::json::parse(text)).has_value());
@@ -46,7 +46,7 @@
     BOOST_TEST(!Platform::decodeEndpoint("i", nlohmann::json::parse(R"({"service":"s","address":"nowhere"})")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_leaves)
+BOOST_AUTO_TEST_CASE(decodes_a_draining_endpoint)
 {
     auto decoded = Platform::decodeEndpoint("i-1",
         nlohmann::json::parse(R"({"service":"s","address":"10.1.2.3:80","zone":"z","slots":6,"state":"draining","version":"v1","sequence":7,"born":1764720000123,"spotEnabled":true,"leaves_ms":2500,"coldLeftMs":0})"));
@@ -61,52 +61,54 @@
 
 namespace {
 
-nlohmann::json soundEntry()
+nlohmann::json validEntry()
 {
     return { { "service", "s" }, { "address", "10.1.2.3:80" }, { "zone", "z" }, { "version", "v1" }, { "slots", 6 }, { "state", "ready" }, { "coldLeftMs", 0 }, { "sequence", 4 } };
 }
 
-nlohmann::json soundObject(const std::string& name)
+nlohmann::json validObject(const std::string& name)
 {
-    return { { "metadata", { { "name", name }, { "revision", 9 } } }, { "spec", soundEntry() } };
+    return { { "metadata", { { "name", name }, { "revision", 9 } } }, { "spec", validEntry() } };
 }
 
 } // namespace
 
-// Before, an entry without a state counted as ready, and one without slots as one slot.
-BOOST_AUTO_TEST_CASE(an_entry_of_another_writer_that_is_broken_names_no_endpoint)
+// An endpoint entry with a missing or invalid field must be refused. Before this check existed, an entry without a state counted as
+// ready, and one without slots counted as having one slot.
+BOOST_AUTO_TEST_CASE(a_malformed_endpoint_entry_is_refused)
 {
-    const auto sound = soundEntry();
-    BOOST_TEST(Platform::decodeEndpoint("i", sound).has_value());
-    for (const auto& [field, value] : sound.items()) {
-        auto missing = soundEntry();
+    const auto valid = validEntry();
+    BOOST_TEST(Platform::decodeEndpoint("i", valid).has_value());
+    for (const auto& [field, value] : valid.items()) {
+        auto missing = validEntry();
         missing.erase(field);
         BOOST_TEST(!Platform::decodeEndpoint("i", missing).has_value(), field << " is missing");
         for (const auto* other : { "null", "[]", "{}", "true", "-1", "\"\"", "\"\xEF\xBF\xBD\"" }) {
-            auto changed = soundEntry();
+            auto changed = validEntry();
             changed[field] = nlohmann::json::parse(other);
             BOOST_TEST(!Platform::decodeEndpoint("i", changed).has_value(), field << " is " << other);
         }
     }
-    auto with = [](const char* field, const nlohmann::json& value) {
-        auto changed = soundEntry();
+    auto decodesWith = [](const char* field, const nlohmann::json& value) {
+        auto changed = validEntry();
         changed[field] = value;
         return Platform::decodeEndpoint("i", changed).has_value();
     };
     for (const auto& [field, value] : std::vector<std::pair<const char*, nlohmann::json>> { { "state", "warming" }, { "slots", 0 }, { "slots", 1e12 }, { "slots", 2.5 }, { "address", "10.1.2.3:0" },
              { "address", "nowhere:80" }, { "address", "10.1.2.3:99999" }, { "service", std::string(100000, 's') }, { "born", "today" }, { "born", -5 }, { "born", 1.5 },
              { "spotEnabled", "yes" }, { "leaves_ms", -1 }, { "leaves_ms", 1e300 } })
-        BOOST_TEST(!with(field, value), field << " is " << value.dump().substr(0, 40));
-    BOOST_TEST(with("born", 1764720000123U));
-    BOOST_TEST(with("sequence", 1U << 30U));
+        BOOST_TEST(!decodesWith(field, value), field << " is " << value.dump().substr(0, 40));
+    BOOST_TEST(decodesWith("born", 1764720000123U));
+    BOOST_TEST(decodesWith("sequence", 1U << 30U));
     BOOST_TEST(!Platform::decodeEndpoint("i", "text").has_value());
-    BOOST_TEST(!Platform::decodeEndpoint("", soundEntry()).has_value());
+    BOOST_TEST(!Platform::decodeEndpoint("", validEntry()).has_value());
 }
 
-// Before, one entry without metadata cost the whole page, and bytes that are no text the whole list.
-BOOST_AUTO_TEST_CASE(a_broken_entry_costs_no_other)
+// One malformed entry must not affect the others: an entry without metadata once made its whole page unreadable, and invalid UTF-8 made
+// the whole list unreadable.
+BOOST_AUTO_TEST_CASE(a_malformed_entry_does_not_affect_other_entries)
 {
-    std::string text = nlohmann::json { { "modRev", 12 }, { "hasMore", false }, { "entries", { soundObject("a"), { { "spec", 1 } }, soundObject("b"), 7, { { "metadata", { { "name", "c" } } }, { "spec", soundEntry() } } } } }.dump();
+    std::string text = nlohmann::json { { "modRev", 12 }, { "hasMore", false }, { "entries", { validObject("a"), { { "spec", 1 } }, validObject("b"), 7, { { "metadata", { { "name", "c" } } }, { "spec", validEntry() } } } } }.dump();
     auto page = Platform::decodeListPage(text);
     BOOST_REQUIRE(page.has_value());
     BOOST_TEST(page.value().objects.revision == 12U);
@@ -121,25 +123,25 @@
     BOOST_TEST(Platform::decodeEndpoint("b", page.value().objects.objects[1].value).has_value());
 }
 
-// Whatever another writer puts into the fields of one entry, in a list or in a change, all others are read as before.
-BOOST_AUTO_TEST_CASE(any_change_within_one_entry_changes_no_other)
+// Property: with arbitrary bytes in one field of one entry, in a list or in a change event, all other entries are decoded unchanged.
+BOOST_AUTO_TEST_CASE(arbitrary_bytes_in_one_entry_leave_the_others_unchanged)
 {
     Tests::checkProperty("the others hold", [](const std::string& bytes, std::uint8_t which) {
         std::string value;
         for (char c : bytes)
             value += c == '"' || c == '\\' || static_cast<unsigned char>(c) < 0x20 ? '.' : c;
         static constexpr std::array fields { "service", "address", "zone", "version", "state" };
-        auto broken = soundObject("broken").dump();
+        auto broken = validObject("broken").dump();
         auto field = std::string("\"") + fields[which % fields.size()] + "\":\"";
         auto at = broken.find(field) + field.size();
         broken.replace(at, broken.find('"', at) - at, value);
-        auto list = "{\"modRev\":3,\"entries\":[" + soundObject("a").dump() + "," + broken + "," + soundObject("b").dump() + "]}";
+        auto list = "{\"modRev\":3,\"entries\":[" + validObject("a").dump() + "," + broken + "," + validObject("b").dump() + "]}";
         auto page = Platform::decodeListPage(list);
         RC_ASSERT(page.has_value());
         RC_ASSERT(page.value().objects.objects.size() == 3U);
-        RC_ASSERT(page.value().objects.objects.front().value == soundEntry());
-        RC_ASSERT(page.value().objects.objects.back().value == soundEntry());
-        auto changes = Platform::decodeChanges("{\"modRev\":3,\"events\":[{\"deleted\":false,\"object\":" + broken + "},{\"deleted\":true,\"object\":" + soundObject("b").dump() + "}]}");
+        RC_ASSERT(page.value().objects.objects.front().value == validEntry());
+        RC_ASSERT(page.value().objects.objects.back().value == validEntry());
+        auto changes = Platform::decodeChanges("{\"modRev\":3,\"events\":[{\"deleted\":false,\"object\":" + broken + "},{\"deleted\":true,\"object\":" + validObject("b").dump() + "}]}");
         RC_ASSERT(changes.has_value());
         RC_ASSERT(changes.value().objects.back().name == "b");
         RC_ASSERT(changes.value().objects.back().deleted);
--- a/tests/platform/test_settings_template.cpp
+++ b/tests/platform/test_settings_template.cpp
@@ -1,4 +1,5 @@
-// deploy/entry_settings.json.template, filled as the platform fills it, on installations that leave fields out.
+// Fills deploy/entry_settings.json.template like the platform does, with complete and with minimal fields, and checks that
+// onyxnotch-entry accepts the resulting settings file.
 #include "core/file.h"
 #include "main/entry_settings.h"
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,8 @@
 
 using Json = nlohmann::json;
 
-// The part of the platform's template language that the file uses: values, sections, inverted sections, commas in lists.
+// Implements the part of the platform's template language that the file uses: {{value}}, {{#section}}, {{^inverted section}} and
+// {{,}}, which writes a comma after every list entry except the last.
 class TemplateFiller {
 public:
     explicit TemplateFiller(Json fields)
@@ -21,7 +23,7 @@
     {
     }
 
-    std::string fill(const std::string& text) const { return fillFor(text, nullptr, false); }
+    std::string fill(const std::string& text) const { return fillText(text, nullptr, false); }
 
 private:
     const Json* find(const std::string& path) const
@@ -42,7 +44,7 @@
 
     static std::string valueText(const Json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-    std::string fillFor(const std::string& text, const Json* entry, bool last) const
+    std::string fillText(const std::string& text, const Json* entry, bool last) const
     {
         std::string filled;
         std::size_t at = 0;
@@ -66,23 +68,23 @@
         return filled + text.substr(at);
     }
 
-    std::string fillSection(bool wanted, const std::string& text, const Json* value) const
+    std::string fillSection(bool fillIfPresent, const std::string& text, const Json* value) const
     {
-        bool given = value && !value->is_null() && *value != Json(false) && !(value->is_array() && value->empty());
-        if (given != wanted)
+        bool isPresent = value && !value->is_null() && *value != Json(false) && !(value->is_array() && value->empty());
+        if (isPresent != fillIfPresent)
             return "";
-        if (!wanted || !value->is_array())
-            return fillFor(text, value, true);
+        if (!fillIfPresent || !value->is_array())
+            return fillText(text, value, true);
         std::string filled;
         for (std::size_t n = 0; n < value->size(); ++n)
-            filled += fillFor(text, &(*value)[n], n + 1 == value->size());
+            filled += fillText(text, &(*value)[n], n + 1 == value->size());
         return filled;
     }
 
     Json m_fields;
 };
 
-Json leastFields()
+Json minimalFields()
 {
     return { { "nodeName", "n-1" }, { "zone", "z" }, { "listen", { { "frontend", "10.0.0.1:80" }, { "readiness", "10.0.0.1:81" }, { "controlPlane", "10.0.0.1:82" } } },
         { "portRange", { 7600, 7615 } }, { "platform", { { "address", "10.0.1.1:90" } } }, { "limits", { { "maxFds", 4100 } } } };
@@ -105,9 +107,9 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsTemplate)
 
-BOOST_AUTO_TEST_CASE(every_field_is_taken)
+BOOST_AUTO_TEST_CASE(every_template_field_reaches_the_settings)
 {
-    auto fields = leastFields();
+    auto fields = minimalFields();
     fields["seedNodes"] = { "10.0.0.1:82", "10.0.0.2:82" };
     fields["limits"]["memoryMb"] = 160;
     fields["bounds"] = { { "retrySlack", 58 }, { "retryBudgetRatio", 0.25 }, { "graceS", 8 }, { "leaseMs", 3000 }, { "reportWindowS", 5 } };
@@ -126,14 +128,15 @@
     BOOST_TEST(entry.duties.ordersEndpoints);
 }
 
-// Found by reading: "{{bounds.graceS}}000" made 7.5 seconds 7.5 milliseconds, and a field left out made no JSON at all.
-BOOST_AUTO_TEST_CASE(fractions_and_missing_fields_are_no_reason_not_to_start)
+// Guards against two faults of the template: "{{bounds.graceS}}000" turned 7.5 seconds into 7.5 milliseconds, and an omitted field left
+// text that is not valid JSON.
+BOOST_AUTO_TEST_CASE(fractional_and_missing_fields_are_accepted)
 {
-    auto least = settingsFor(leastFields());
-    BOOST_REQUIRE_MESSAGE(least, messageOf(least));
-    BOOST_TEST(least.value().entry.retries.perRequest == 0);
-    BOOST_TEST(!least.value().entry.duties.reportsUsage);
-    auto fields = leastFields();
+    auto minimal = settingsFor(minimalFields());
+    BOOST_REQUIRE_MESSAGE(minimal, messageOf(minimal));
+    BOOST_TEST(minimal.value().entry.retries.perRequest == 0);
+    BOOST_TEST(!minimal.value().entry.duties.reportsUsage);
+    auto fields = minimalFields();
     fields["bounds"] = { { "graceS", 7.5 }, { "reportWindowS", 2.5 } };
     auto settings = settingsFor(fields);
     BOOST_REQUIRE_MESSAGE(settings, messageOf(settings));
