--- a/servers/engine/engine_client.cpp
+++ b/servers/engine/engine_client.cpp
@@ -13,8 +13,8 @@
 
     using Json = nlohmann::json;
 
-    constexpr Milliseconds silenceLimit { 5000 };
-    constexpr Milliseconds cancelTimeout { 500 };
+    constexpr Milliseconds streamReadTimeout { 5000 }; // Longest pause between bytes of a stream.
+    constexpr Milliseconds shortCallTimeout { 500 }; // For load reports and cancellation.
 
     EngineEvent eventFromJson(const Json& document)
     {
@@ -27,7 +27,8 @@
         };
     }
 
-    EngineStreamEnd refusalOf(int status)
+    // Maps the HTTP error status of a start or resume to the reason why the stream ended.
+    EngineStreamEnd streamEndFromStatus(int status)
     {
         if (status == HttpStatus::notFound)
             return EngineStreamEnd::Gone;
@@ -57,39 +58,39 @@
         { "priority", request.priority },
     };
     auto text = body.dump(-1, ' ', false, Json::error_handler_t::replace);
-    return read({ .method = "POST", .path = "/v1/streams", .headers = {}, .body = text, .readTimeout = silenceLimit }, receiver);
+    return read({ .method = "POST", .path = "/v1/streams", .headers = {}, .body = text, .readTimeout = streamReadTimeout }, receiver);
 }
 
 EngineStreamEnd EngineStream::resume(const std::string& streamId, std::uint64_t offset, const Receiver& receiver)
 {
     auto path = "/v1/streams/" + streamId + "?offset=" + std::to_string(offset);
-    return read({ .method = "GET", .path = path, .readTimeout = silenceLimit }, receiver);
+    return read({ .method = "GET", .path = path, .readTimeout = streamReadTimeout }, receiver);
 }
 
 EngineStreamEnd EngineStream::read(const HttpCall& call, const Receiver& receiver)
 {
     int status = 0;
-    bool ended = false;
+    bool isCompleted = false;
     ServerSentEventParser parser([&](const ServerSentEvent& event) {
         auto parsed = decodeJson<EngineEvent>(event.data, ErrorCode::Ambiguous, "engine event", eventFromJson);
         if (!parsed)
             return false;
         auto verdict = receiver(parsed.value());
-        ended = ended || (parsed.value().end && verdict == EventVerdict::Take);
+        isCompleted = isCompleted || (parsed.value().end && verdict == EventVerdict::Take);
         return verdict != EventVerdict::Stop;
     });
     auto onHeaders = [&](const HttpReply& reply) {
         status = reply.status;
         if (HttpStatus::turnsAway(status))
-            m_askedRest = parseRetryAfter(reply.header("retry-after"));
+            m_requestedBackoff = parseRetryAfter(reply.header("retry-after"));
         m_onHead(namedLimit(reply));
         return reply.ok();
     };
     auto result = m_stream->run(call, onHeaders, [&](std::string_view data) { return parser.feed(data); });
-    if (ended)
+    if (isCompleted)
         return EngineStreamEnd::Completed;
     if (status != 0 && (status < 200 || status >= 300))
-        return refusalOf(status);
+        return streamEndFromStatus(status);
     if (!result && result.error().code == ErrorCode::Unavailable)
         return EngineStreamEnd::NotStarted;
     return EngineStreamEnd::Lost;
@@ -104,7 +105,7 @@
 
 Result<EngineLoad> EngineClient::load() const
 {
-    BOOST_OUTCOME_TRY(reply, sendHttp(m_address, { .path = "/v1/load", .connectTimeout = cancelTimeout, .readTimeout = cancelTimeout }));
+    BOOST_OUTCOME_TRY(reply, sendHttp(m_address, { .path = "/v1/load", .connectTimeout = shortCallTimeout, .readTimeout = shortCallTimeout }));
     if (!reply.ok())
         return Error { ErrorCode::Ambiguous, "engine load: HTTP " + std::to_string(reply.status) };
     return decodeJson<EngineLoad>(reply.body, ErrorCode::Ambiguous, "engine load", [](const Json& document) {
@@ -130,7 +131,7 @@
 
 Status EngineClient::cancel(const std::string& streamId) const
 {
-    BOOST_OUTCOME_TRY(reply, sendHttp(m_address, { .method = "POST", .path = "/v1/streams/" + streamId + "/cancel", .headers = {}, .body = "{}", .readTimeout = cancelTimeout }));
+    BOOST_OUTCOME_TRY(reply, sendHttp(m_address, { .method = "POST", .path = "/v1/streams/" + streamId + "/cancel", .headers = {}, .body = "{}", .readTimeout = shortCallTimeout }));
     if (!reply.ok())
         return Error { ErrorCode::NotFound, "engine cancel: HTTP " + std::to_string(reply.status) };
     return success();
--- a/servers/engine/named_limit.h
+++ b/servers/engine/named_limit.h
@@ -1,5 +1,5 @@
-// How many requests a second an engine or a plain endpoint of the own interface takes from all gateways together, as an answer names it in
-// the field "Onyxnotch-Limit".
+// Parses the request rate limit that an engine or a plain endpoint behind the gateways advertises in the response header field
+// "Onyxnotch-Limit": requests per second that it accepts from all gateways together.
 #pragma once
 
 #include "core/net/decimal.h"
@@ -9,7 +9,7 @@
 
 constexpr auto limitHeader = "onyxnotch-limit";
 
-// Empty where the answer names none, or something that is no decimal number.
+// Returns nothing if the field is missing or not a decimal number.
 inline std::optional<double> namedLimit(const HttpReply& reply) { return parseDecimal(reply.header(limitHeader)); }
 
 } // namespace Onyxnotch
--- a/servers/membership/gossip_queue.h
+++ b/servers/membership/gossip_queue.h
@@ -1,4 +1,4 @@
-// News that a node still has to pass on. Each item goes out a bounded number of times, the least sent first.
+// Queue of updates that a node still has to send to other nodes. Each update is sent a bounded number of times, the least sent first.
 #pragma once
 
 #include <algorithm>
@@ -10,16 +10,16 @@
 
 namespace Onyxnotch {
 
-// A newer item under the same key replaces the older one. Not thread safe.
+// Holds one item per key; adding an item replaces the previous one of its key. Not thread-safe.
 template <typename Item>
-class NewsQueue {
+class GossipQueue {
 public:
-    explicit NewsQueue(std::size_t maximumItems = 8192)
+    explicit GossipQueue(std::size_t maximumItems = 8192)
         : m_maximumItems(maximumItems)
     {
     }
 
-    // Returns false where the queue is full; the item then reaches others by the exchange of whole states.
+    // Returns false if the queue is full. The item then reaches other nodes only when they exchange their complete state.
     bool add(const std::string& key, const Item& item)
     {
         if (m_entries.size() >= m_maximumItems && !m_entries.contains(key))
@@ -28,18 +28,19 @@
         return true;
     }
 
-    // Up to `count` items to send now. An item is dropped after 3 * log2(memberCount) sends, which reaches all with high probability.
-    std::vector<Item> take(std::size_t count, std::size_t memberCount)
+    // Returns up to `count` items to send now and counts a send for each. An item is dropped after about 3 * log2(memberCount) sends, which
+    // reaches all members with high probability.
+    std::vector<Item> nextBatch(std::size_t count, std::size_t memberCount)
     {
         auto limit = static_cast<unsigned>(std::ceil(sendsPerDoubling * std::log2(static_cast<double>(memberCount) + 2)));
         std::vector<typename std::map<std::string, Entry>::iterator> order {};
         for (auto it = m_entries.begin(); it != m_entries.end(); ++it)
             order.push_back(it);
-        auto kept = std::min(count, order.size());
-        std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(kept), order.end(),
+        auto selected = std::min(count, order.size());
+        std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(selected), order.end(),
             [](const auto& left, const auto& right) { return left->second.sends < right->second.sends; });
         std::vector<Item> items {};
-        for (std::size_t n = 0; n < kept; ++n) {
+        for (std::size_t n = 0; n < selected; ++n) {
             auto it = order[n];
             items.push_back(it->second.item);
             if (++it->second.sends >= limit)
@@ -50,6 +51,7 @@
 
     bool empty() const { return m_entries.empty(); }
 
+    // Whether any item has not been sent yet.
     bool hasUnsent() const
     {
         return std::any_of(m_entries.begin(), m_entries.end(), [](const auto& it) { return it.second.sends == 0; });
--- a/servers/membership/leaving_marks.cpp
+++ b/servers/membership/leaving_marks.cpp
@@ -4,15 +4,15 @@
 
 namespace Onyxnotch {
 
-LeavingMark joinMarks(const LeavingMark& left, const LeavingMark& right)
+LeavingMark mergeMarks(const LeavingMark& left, const LeavingMark& right)
 {
-    auto joined = left;
+    auto merged = left;
     auto earlier = std::min(left.deadlineWallMilliseconds, right.deadlineWallMilliseconds);
     auto later = std::max(left.deadlineWallMilliseconds, right.deadlineWallMilliseconds);
-    // 0 stands for a deadline that is not known.
-    joined.deadlineWallMilliseconds = earlier != 0 ? earlier : later;
-    joined.source = std::min(left.source, right.source);
-    return joined;
+    // A deadline of 0 means unknown.
+    merged.deadlineWallMilliseconds = earlier != 0 ? earlier : later;
+    merged.source = std::min(left.source, right.source);
+    return merged;
 }
 
 LeavingMarks::LeavingMarks(std::size_t maximumMarks)
@@ -24,18 +24,18 @@
 {
     auto it = m_marks.find(mark.endpoint);
     if (it != m_marks.end()) {
-        auto joined = joinMarks(it->second, mark);
-        if (joined == it->second)
+        auto merged = mergeMarks(it->second, mark);
+        if (merged == it->second)
             return std::nullopt;
-        it->second = joined;
-        return joined;
+        it->second = merged;
+        return merged;
     }
     if (m_marks.size() >= m_maximumMarks) {
-        m_marks.erase(m_order.front());
-        m_order.pop_front();
+        m_marks.erase(m_insertionOrder.front());
+        m_insertionOrder.pop_front();
     }
     m_marks.emplace(mark.endpoint, mark);
-    m_order.push_back(mark.endpoint);
+    m_insertionOrder.push_back(mark.endpoint);
     return mark;
 }
 
--- a/servers/membership/member.h
+++ b/servers/membership/member.h
@@ -1,4 +1,5 @@
-// What the nodes tell each other about themselves and about what is leaving. Immutable values; the messages are encoded by cereal.
+// Value types and messages of the membership protocol between nodes: members, leaving endpoints, ledger successions and documents.
+// Messages are encoded by cereal; the order of the serialized fields is the wire format.
 #pragma once
 
 #include "core/net/address.h"
@@ -12,8 +13,8 @@
 
 enum class MemberState : std::uint8_t {
     Alive,
-    Suspect, // It missed a probe and several indirect ones; it can still refute that.
-    Dead,
+    Suspect, // Direct and indirect probes failed; the member can still refute the suspicion.
+    Dead, // Did not refute the suspicion within the suspicion time.
 };
 
 enum class MemberRole : std::uint8_t {
@@ -21,11 +22,11 @@
     Controller,
 };
 
-// A node as it describes itself, with the state that others have found.
+// A node's description of itself, with the state in which other nodes see it.
 struct Member {
-    std::string node {}; // The instance id with the role, for instance "zone-a-1/gateway".
-    std::uint64_t incarnation { 0 }; // Chosen at each start of the process; a later start has a higher one.
-    std::uint32_t revision { 0 }; // Raised by the node at each change of its own description.
+    std::string node {}; // Instance id and role, e.g. "zone-a-1/gateway".
+    std::uint64_t incarnation { 0 }; // Identifies a process start; a later start has a higher value.
+    std::uint32_t revision { 0 }; // Incremented by the node itself when its description changes.
     MemberState state { MemberState::Alive };
     MemberRole role { MemberRole::Gateway };
     bool leaving { false };
@@ -49,7 +50,7 @@
     }
 };
 
-// Who first knew that an endpoint is leaving.
+// Origin of the information that an endpoint is leaving. If several sources report one endpoint, the first in this order is kept.
 enum class LeavingSource : std::uint8_t {
     CloudNotice,
     InstanceList,
@@ -57,10 +58,10 @@
     Operator,
 };
 
-// An endpoint incarnation that is leaving. Marks are never taken back: a replacement has an instance id of its own.
+// Marks an endpoint as leaving (shutting down). Marks are never revoked: a replacement endpoint has a new instance id.
 struct LeavingMark {
     std::string endpoint {}; // The cloud instance id.
-    std::uint64_t deadlineWallMilliseconds { 0 }; // When the instance ends, as far as its source said; 0 where unknown.
+    std::uint64_t deadlineWallMilliseconds { 0 }; // Wall-clock time at which the instance ends, as its source reported; 0 if unknown.
     LeavingSource source { LeavingSource::CloudNotice };
 
     bool operator==(const LeavingMark&) const = default;
@@ -69,8 +70,8 @@
     void serialize(Archive& archive) { archive(endpoint, deadlineWallMilliseconds, source); }
 };
 
-// A node that is leaving gives its request ledger to another one, which answers for its requests from then on. Only the giver's own
-// act makes one. Where the giver has to turn to another node, it raises the generation.
+// Records that a leaving node handed its request ledger over to another node, which is responsible for its requests from then on.
+// Only the node that hands over creates a succession. If it has to choose another successor, it raises the generation.
 struct Succession {
     std::string fromNode {};
     std::uint64_t fromIncarnation { 0 };
@@ -84,7 +85,7 @@
     void serialize(Archive& archive) { archive(fromNode, fromIncarnation, toNode, toIncarnation, generation); }
 };
 
-// A document that is spread between nodes, by name; the version of each name only grows.
+// Name and version of a document that is replicated between nodes. The version of a name only increases.
 struct DocumentVersion {
     std::string name {};
     std::uint64_t version { 0 };
@@ -95,7 +96,7 @@
     void serialize(Archive& archive) { archive(name, version); }
 };
 
-// What brings a document from one version to another: whole (`fromVersion` 0) or as changes.
+// Updates a document from `fromVersion` to `version`. The payload is the complete document if `fromVersion` is 0, otherwise the changes.
 struct DocumentUpdate {
     std::string name {};
     std::uint64_t fromVersion { 0 };
@@ -108,12 +109,12 @@
     void serialize(Archive& archive) { archive(name, fromVersion, version, payload); }
 };
 
-// A probe, its acknowledgement, or a push of news.
+// Datagram of the gossip protocol: a probe, its acknowledgement, or a push of updates without acknowledgement.
 struct GossipMessage {
     std::uint64_t sequence { 0 };
     bool acknowledgementWanted { false };
     Member sender {};
-    std::uint64_t documentDigest { 0 }; // Over the sender's document versions.
+    std::uint64_t documentDigest { 0 }; // Hash of the sender's document names and versions.
     std::vector<Member> members {};
     std::vector<LeavingMark> marks {};
     std::vector<Succession> successions {};
@@ -125,7 +126,7 @@
     }
 };
 
-// Asks a third node to probe `target` and to pass the acknowledgement on to the sender.
+// Requests that the receiving node probes `target` and forwards the acknowledgement to `origin`.
 struct IndirectProbeMessage {
     std::uint64_t sequence { 0 };
     Address origin {};
@@ -135,6 +136,7 @@
     void serialize(Archive& archive) { archive(sequence, origin, target); }
 };
 
+// Sent by a starting node: its description and the document versions that it has.
 struct JoinRequestMessage {
     Member sender {};
     std::vector<DocumentVersion> versions {};
@@ -143,6 +145,7 @@
     void serialize(Archive& archive) { archive(sender, versions); }
 };
 
+// Answer to a join request: the complete membership state, and the document updates that the joining node lacks.
 struct JoinReplyMessage {
     std::vector<Member> members {};
     std::vector<LeavingMark> marks {};
@@ -153,6 +156,7 @@
     void serialize(Archive& archive) { archive(members, marks, successions, documents); }
 };
 
+// Requests the document updates that a node with these versions lacks.
 struct DocumentRequestMessage {
     std::vector<DocumentVersion> versions {};
 
@@ -160,6 +164,7 @@
     void serialize(Archive& archive) { archive(versions); }
 };
 
+// Answer to a document request.
 struct DocumentReplyMessage {
     std::vector<DocumentUpdate> documents {};
 
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -11,34 +11,34 @@
 {
 }
 
-bool MemberTable::supersedes(const Member& news, const Member& known)
+bool MemberTable::supersedes(const Member& update, const Member& current)
 {
-    // Leaving is one way within an incarnation, so it also wins over a report of the same revision that lacks it.
-    return std::tie(news.incarnation, news.revision, news.state, news.leaving) > std::tie(known.incarnation, known.revision, known.state, known.leaving);
+    // Within an incarnation, `leaving` is never revoked. So of two updates with the same revision and state, the one that has it set wins.
+    return std::tie(update.incarnation, update.revision, update.state, update.leaving) > std::tie(current.incarnation, current.revision, current.state, current.leaving);
 }
 
-bool MemberTable::apply(const Member& news, SteadyTime now)
+bool MemberTable::apply(const Member& update, SteadyTime now)
 {
-    if (news.node == m_self.node) {
-        bool aboutThisProcess = news.incarnation == m_self.incarnation;
-        if (aboutThisProcess && news.state != MemberState::Alive && news.revision >= m_self.revision) {
-            m_self.revision = news.revision + 1;
+    if (update.node == m_self.node) {
+        bool isThisIncarnation = update.incarnation == m_self.incarnation;
+        if (isThisIncarnation && update.state != MemberState::Alive && update.revision >= m_self.revision) {
+            m_self.revision = update.revision + 1;
             return true;
         }
         return false;
     }
-    auto it = m_entries.find(news.node);
+    auto it = m_entries.find(update.node);
     if (it == m_entries.end()) {
         if (m_entries.size() >= m_options.maximumMembers)
             return false;
-        m_entries.emplace(news.node, Entry { .member = news, .since = now });
+        m_entries.emplace(update.node, Entry { .member = update, .stateSince = now });
         return true;
     }
-    if (!supersedes(news, it->second.member))
+    if (!supersedes(update, it->second.member))
         return false;
-    if (it->second.member.state != news.state)
-        it->second.since = now;
-    it->second.member = news;
+    if (it->second.member.state != update.state)
+        it->second.stateSince = now;
+    it->second.member = update;
     return true;
 }
 
@@ -48,7 +48,7 @@
     if (it == m_entries.end() || it->second.member.state != MemberState::Alive)
         return false;
     it->second.member.state = MemberState::Suspect;
-    it->second.since = now;
+    it->second.stateSince = now;
     return true;
 }
 
@@ -58,28 +58,28 @@
     if (it == m_entries.end() || it->second.member.incarnation != incarnation || it->second.member.state != MemberState::Suspect)
         return false;
     it->second.member.state = MemberState::Alive;
-    it->second.since = now;
+    it->second.stateSince = now;
     return true;
 }
 
 std::vector<Member> MemberTable::expire(SteadyTime now)
 {
-    std::vector<Member> died;
+    std::vector<Member> newlyDead;
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         auto& entry = it->second;
-        auto age = now - entry.since;
-        if (entry.member.state == MemberState::Dead && age >= m_options.forgetTime) {
+        auto age = now - entry.stateSince;
+        if (entry.member.state == MemberState::Dead && age >= m_options.deadRetention) {
             it = m_entries.erase(it);
             continue;
         }
         if (entry.member.state == MemberState::Suspect && age >= m_options.suspicionTime) {
             entry.member.state = MemberState::Dead;
-            entry.since = now;
-            died.push_back(entry.member);
+            entry.stateSince = now;
+            newlyDead.push_back(entry.member);
         }
         ++it;
     }
-    return died;
+    return newlyDead;
 }
 
 void MemberTable::setLeaving(bool leaving)
--- a/servers/membership/member_table.h
+++ b/servers/membership/member_table.h
@@ -1,4 +1,5 @@
-// What one node knows of all nodes: a pure state machine, with the time passed in.
+// Table of all members as one node sees them: applies membership updates and the results of probes. Does no I/O; the time is passed in.
+// Not thread-safe.
 #pragma once
 
 #include "core/clock.h"
@@ -10,8 +11,8 @@
 namespace Onyxnotch {
 
 struct MemberTableOptions {
-    Milliseconds suspicionTime { 3000 }; // From the first failed probe to the verdict.
-    Milliseconds forgetTime { 600000 }; // A dead member is remembered this long, so that old news of it is known to be old.
+    Milliseconds suspicionTime { 3000 }; // From the failed probe to the change from suspect to dead.
+    Milliseconds deadRetention { 600000 }; // How long a dead member stays in the table, so that outdated updates about it are recognised.
     std::size_t maximumMembers { 4096 };
 };
 
@@ -19,30 +20,30 @@
 public:
     MemberTable(const Member& self, const MemberTableOptions&);
 
-    // Takes news of a member. Returns whether it changed the table, so that it is worth passing on.
-    // News that this node itself is suspect or dead is refuted by a higher revision of its own.
+    // Applies an update about a member. Returns whether it changed the table; if so, it should be passed on to other nodes.
+    // An update that this node itself is suspect or dead is refuted by raising this node's revision.
     bool apply(const Member&, SteadyTime now);
-    // A probe of it and the indirect ones failed.
+    // Marks an alive member as suspect, after direct and indirect probes failed. Returns whether its state changed.
     bool suspect(const std::string& node, SteadyTime now);
-    // It answered a probe, directly or through a third node.
+    // Marks a suspect as alive again, after it answered a probe directly or through another node. Returns whether its state changed.
     bool confirm(const std::string& node, std::uint64_t incarnation, SteadyTime now);
-    // Turns suspects whose time is over into dead members. Returns those.
+    // Marks suspects as dead after the suspicion time and returns them. Removes dead members after their retention time.
     std::vector<Member> expire(SteadyTime now);
-    // Changes the own description; its revision rises.
+    // Changes this node's own description and raises its revision.
     void setLeaving(bool);
 
     const Member& self() const { return m_self; }
-    // The own description and every other member, dead ones too.
+    // Returns this node's own description and all other members, including dead ones.
     std::vector<Member> members() const;
     std::optional<Member> find(const std::string& node) const;
 
 private:
     struct Entry {
         Member member {};
-        SteadyTime since {}; // When it came into its state.
+        SteadyTime stateSince {}; // When the member entered its current state.
     };
 
-    static bool supersedes(const Member& news, const Member& known);
+    static bool supersedes(const Member& update, const Member& current);
 
     Member m_self {};
     MemberTableOptions m_options {};
--- a/servers/membership/membership_documents.cpp
+++ b/servers/membership/membership_documents.cpp
@@ -1,4 +1,4 @@
-// News, documents and joining: what goes over TCP, or to a few nodes at once.
+// Part of MembershipServer: pushes urgent updates over UDP, and exchanges documents and join messages over TCP.
 #include "servers/membership/membership_state.h"
 
 #include "core/digest.h"
@@ -11,22 +11,22 @@
 
 namespace {
 
-    constexpr Milliseconds peerTimeout { 1000 };
+    constexpr Milliseconds peerCallTimeout { 1000 };
 
 } // namespace
 
-void MembershipServer::Implementation::pushNews()
+void MembershipServer::Implementation::pushUpdates()
 {
     std::vector<std::pair<Address, GossipMessage>> messages;
     {
         std::lock_guard lock(mutex);
-        if (!pushWanted)
+        if (!pushPending)
             return;
-        pushWanted = false;
+        pushPending = false;
         for (const auto& it : sampleLocked(options.pushFanOut, {}))
             messages.emplace_back(it.gossipAddress(), messageLocked(0, false));
-        // More marks than one message holds: the rest goes out with the next tick.
-        pushWanted = markNews.hasUnsent();
+        // Marks that did not fit into the message are pushed at the next tick.
+        pushPending = markUpdates.hasUnsent();
     }
     for (const auto& [address, message] : messages)
         send(address, MessageType::Gossip, message);
@@ -42,7 +42,7 @@
     if (!source)
         return;
     DocumentRequestMessage request { .versions = hooks.versions() };
-    auto frame = callPeer(*source, packMessage(MessageType::DocumentRequest, request), peerTimeout);
+    auto frame = callPeer(*source, packMessage(MessageType::DocumentRequest, request), peerCallTimeout);
     if (!frame)
         return;
     auto reply = unpackMessage<DocumentReplyMessage>(MessageType::DocumentReply, frame.value());
@@ -58,7 +58,7 @@
     if (!changed)
         return;
     std::lock_guard lock(mutex);
-    pushWanted = true;
+    pushPending = true;
 }
 
 bool MembershipServer::Implementation::joinThrough(const Address& seed)
@@ -69,7 +69,7 @@
         request.sender = table.self();
     }
     request.versions = hooks.versions();
-    auto frame = callPeer(seed, packMessage(MessageType::JoinRequest, request), peerTimeout);
+    auto frame = callPeer(seed, packMessage(MessageType::JoinRequest, request), peerCallTimeout);
     if (!frame)
         return false;
     auto reply = unpackMessage<JoinReplyMessage>(MessageType::JoinReply, frame.value());
@@ -78,11 +78,11 @@
     {
         std::lock_guard lock(mutex);
         for (const auto& it : reply.value().members)
-            takeMemberLocked(it);
+            applyMemberLocked(it);
         for (const auto& it : reply.value().marks)
-            takeMarkLocked(it);
+            applyMarkLocked(it);
         for (const auto& it : reply.value().successions)
-            takeSuccessionLocked(it);
+            applySuccessionLocked(it);
         publish();
     }
     applyDocuments(reply.value().documents);
@@ -95,8 +95,8 @@
     JoinReplyMessage reply;
     {
         std::lock_guard lock(mutex);
-        takeMemberLocked(request.sender);
-        pushWanted = true;
+        applyMemberLocked(request.sender);
+        pushPending = true;
         publish();
         reply.members = table.members();
         for (const auto& [endpoint, mark] : marks.marks())
--- a/servers/membership/membership_probes.cpp
+++ b/servers/membership/membership_probes.cpp
@@ -1,4 +1,4 @@
-// Probes, acknowledgements, and what datagrams carry.
+// Part of MembershipServer: probes and acknowledgements over UDP, and the updates that these datagrams carry.
 #include "servers/membership/membership_state.h"
 
 #include "core/digest.h"
@@ -16,7 +16,7 @@
         return member.node + "#" + std::to_string(member.incarnation);
     }
 
-    std::string_view stateName(MemberState state)
+    std::string_view stateText(MemberState state)
     {
         switch (state) {
         case MemberState::Alive:
@@ -69,36 +69,36 @@
         it(*current);
 }
 
-bool MembershipServer::Implementation::takeMemberLocked(const Member& member)
+bool MembershipServer::Implementation::applyMemberLocked(const Member& member)
 {
-    auto before = table.find(member.node);
+    auto previous = table.find(member.node);
     if (!table.apply(member, steadyNow()))
         return false;
-    auto after = *table.find(member.node);
-    memberNews.add(member.node, after);
-    if (!before || before->state != after.state || before->leaving != after.leaving || before->incarnation != after.incarnation)
-        logEvent(LogLevel::Info, "member_changed", { { "member", describe(after) }, { "state", stateName(after.state) }, { "leaving", after.leaving ? "yes" : "no" } });
+    auto updated = *table.find(member.node);
+    memberUpdates.add(member.node, updated);
+    if (!previous || previous->state != updated.state || previous->leaving != updated.leaving || previous->incarnation != updated.incarnation)
+        logEvent(LogLevel::Info, "member_changed", { { "member", describe(updated) }, { "state", stateText(updated.state) }, { "leaving", updated.leaving ? "yes" : "no" } });
     return true;
 }
 
-bool MembershipServer::Implementation::takeMarkLocked(const LeavingMark& mark)
+bool MembershipServer::Implementation::applyMarkLocked(const LeavingMark& mark)
 {
-    auto joined = marks.add(mark);
-    if (!joined)
+    auto merged = marks.add(mark);
+    if (!merged)
         return false;
-    markNews.add(mark.endpoint, *joined);
+    markUpdates.add(mark.endpoint, *merged);
     metrics.increment("onyxnotch_leaving_marks_total");
     logEvent(LogLevel::Info, "endpoint_leaving", { { "endpoint", mark.endpoint }, { "deadline_ms", mark.deadlineWallMilliseconds }, { "source", static_cast<int>(mark.source) } });
     return true;
 }
 
-bool MembershipServer::Implementation::takeSuccessionLocked(const Succession& succession)
+bool MembershipServer::Implementation::applySuccessionLocked(const Succession& succession)
 {
     auto [it, added] = successions.emplace(std::make_pair(succession.fromNode, succession.fromIncarnation), succession);
     if (!added && it->second.generation >= succession.generation)
         return false;
     it->second = succession;
-    successionNews.add(succession.fromNode + "#" + std::to_string(succession.fromIncarnation), succession);
+    successionUpdates.add(succession.fromNode + "#" + std::to_string(succession.fromIncarnation), succession);
     logEvent(LogLevel::Info, "ledger_succession", { { "from", succession.fromNode }, { "to", succession.toNode } });
     return true;
 }
@@ -111,20 +111,21 @@
         .acknowledgementWanted = acknowledgementWanted,
         .sender = table.self(),
         .documentDigest = detail::digestOf(hooks.versions()),
-        .members = memberNews.take(options.maximumMembersPerMessage, count),
-        .marks = markNews.take(options.maximumMarksPerMessage, count),
-        .successions = successionNews.take(options.maximumMembersPerMessage, count),
+        .members = memberUpdates.nextBatch(options.maximumMembersPerMessage, count),
+        .marks = markUpdates.nextBatch(options.maximumMarksPerMessage, count),
+        .successions = successionUpdates.nextBatch(options.maximumMembersPerMessage, count),
     };
 }
 
-// Only the member itself can say that it lives, and the news of its death may have been sent as often as news are while it was cut off.
-void MembershipServer::Implementation::addStandingLocked(GossipMessage& message, const std::string& receiver) const
+// Only the receiver itself can refute that it is suspect or dead. The queued update that says so may have reached its send limit while the
+// receiver was unreachable, so it is added to the message here.
+void MembershipServer::Implementation::addReceiverStateLocked(GossipMessage& message, const std::string& receiver) const
 {
-    auto standing = table.find(receiver);
-    if (!standing || standing->state == MemberState::Alive)
+    auto receiverState = table.find(receiver);
+    if (!receiverState || receiverState->state == MemberState::Alive)
         return;
     std::erase_if(message.members, [&](const Member& it) { return it.node == receiver; });
-    message.members.push_back(*standing);
+    message.members.push_back(*receiverState);
 }
 
 void MembershipServer::Implementation::send(const Address& address, MessageType type, const GossipMessage& message)
@@ -147,36 +148,36 @@
     auto message = unpackMessage<GossipMessage>(frame.type, frame);
     if (!message)
         return;
-    takeMessage(message.value());
+    processMessage(message.value());
     if (frame.type == MessageType::GossipAcknowledgement)
-        takeAcknowledgement(message.value());
+        processAcknowledgement(message.value());
     else if (message.value().acknowledgementWanted)
         acknowledge(message.value());
 }
 
-void MembershipServer::Implementation::takeMessage(const GossipMessage& message)
+void MembershipServer::Implementation::processMessage(const GossipMessage& message)
 {
     bool changed = false;
     bool urgent = false;
     {
         std::lock_guard lock(mutex);
-        changed |= takeMemberLocked(message.sender);
+        changed |= applyMemberLocked(message.sender);
         for (const auto& it : message.members)
-            changed |= takeMemberLocked(it);
+            changed |= applyMemberLocked(it);
         for (const auto& it : message.marks)
-            urgent |= takeMarkLocked(it);
+            urgent |= applyMarkLocked(it);
         for (const auto& it : message.successions)
-            urgent |= takeSuccessionLocked(it);
+            urgent |= applySuccessionLocked(it);
         if (changed || urgent)
             publish();
-        pushWanted |= urgent;
-        noteDigestLocked(message);
+        pushPending |= urgent;
+        compareDigestLocked(message);
     }
     if (changed || urgent)
         notify();
 }
 
-void MembershipServer::Implementation::noteDigestLocked(const GossipMessage& message)
+void MembershipServer::Implementation::compareDigestLocked(const GossipMessage& message)
 {
     if (message.documentDigest != detail::digestOf(hooks.versions()))
         documentSource = message.sender.peerAddress();
@@ -188,21 +189,21 @@
     {
         std::lock_guard lock(mutex);
         answer = messageLocked(message.sequence, false);
-        addStandingLocked(answer, message.sender.node);
+        addReceiverStateLocked(answer, message.sender.node);
     }
     send(message.sender.gossipAddress(), MessageType::GossipAcknowledgement, answer);
 }
 
-void MembershipServer::Implementation::takeAcknowledgement(const GossipMessage& message)
+void MembershipServer::Implementation::processAcknowledgement(const GossipMessage& message)
 {
-    std::optional<Relay> relay;
+    std::optional<RelayedProbe> relayedProbe;
     bool changed = false;
     {
         std::lock_guard lock(mutex);
-        auto it = relays.find(message.sequence);
-        if (it != relays.end()) {
-            relay = it->second;
-            relays.erase(it);
+        auto it = relayedProbes.find(message.sequence);
+        if (it != relayedProbes.end()) {
+            relayedProbe = it->second;
+            relayedProbes.erase(it);
         } else if (probe && probe->sequence == message.sequence) {
             changed = table.confirm(probe->node, probe->incarnation, steadyNow());
             probe.reset();
@@ -210,25 +211,25 @@
         if (changed)
             publish();
     }
-    if (!relay)
+    if (!relayedProbe)
         return;
-    // Passed on unchanged but for the number: its sender is the probed node.
-    auto passedOn = message;
-    passedOn.sequence = relay->originSequence;
-    send(relay->origin, MessageType::GossipAcknowledgement, passedOn);
+    // The acknowledgement is forwarded with only its sequence number replaced; its sender is still the probed node.
+    auto forwarded = message;
+    forwarded.sequence = relayedProbe->originSequence;
+    send(relayedProbe->origin, MessageType::GossipAcknowledgement, forwarded);
 }
 
 void MembershipServer::Implementation::relayProbe(const IndirectProbeMessage& request)
 {
-    static constexpr std::size_t maximumRelays = 256;
+    static constexpr std::size_t maximumRelayedProbes = 256;
     GossipMessage message;
     {
         std::lock_guard lock(mutex);
-        std::erase_if(relays, [&](const auto& it) { return steadyNow() - it.second.sentAt > options.probePeriod; });
-        if (relays.size() >= maximumRelays)
+        std::erase_if(relayedProbes, [&](const auto& it) { return steadyNow() - it.second.sentAt > options.probePeriod; });
+        if (relayedProbes.size() >= maximumRelayedProbes)
             return;
         auto sequence = nextSequence++;
-        relays.emplace(sequence, Relay { .originSequence = request.sequence, .origin = request.origin, .sentAt = steadyNow() });
+        relayedProbes.emplace(sequence, RelayedProbe { .originSequence = request.sequence, .origin = request.origin, .sentAt = steadyNow() });
         message = messageLocked(sequence, true);
     }
     send(request.target, MessageType::Gossip, message);
@@ -246,7 +247,7 @@
         if (probe && !probe->indirectSent && now - probe->sentAt >= options.probeTimeout)
             indirect = indirectProbesLocked();
         if (now >= nextProbeAt) {
-            changed |= missLocked(now);
+            changed |= handleMissedProbeLocked(now);
             direct = nextProbeLocked(now);
             nextProbeAt = now + options.probePeriod;
         }
@@ -259,21 +260,21 @@
         send(direct->first, MessageType::Gossip, direct->second);
     if (changed)
         notify();
-    pushNews();
+    pushUpdates();
     fetchDocuments();
 }
 
 bool MembershipServer::Implementation::expireLocked(SteadyTime now)
 {
-    auto died = table.expire(now);
-    for (const auto& it : died) {
-        memberNews.add(it.node, it);
+    auto newlyDead = table.expire(now);
+    for (const auto& it : newlyDead) {
+        memberUpdates.add(it.node, it);
         logEvent(LogLevel::Warning, "member_dead", { { "member", describe(it) } });
     }
-    return !died.empty();
+    return !newlyDead.empty();
 }
 
-bool MembershipServer::Implementation::missLocked(SteadyTime now)
+bool MembershipServer::Implementation::handleMissedProbeLocked(SteadyTime now)
 {
     if (!probe)
         return false;
@@ -281,42 +282,42 @@
     probe.reset();
     if (!table.suspect(missed.node, now))
         return false;
-    memberNews.add(missed.node, *table.find(missed.node));
+    memberUpdates.add(missed.node, *table.find(missed.node));
     metrics.increment("onyxnotch_probe_misses_total");
     logEvent(LogLevel::Warning, "member_suspect", { { "member", missed.node } });
     return true;
 }
 
-std::vector<Member> MembershipServer::Implementation::othersLocked(bool deadToo) const
+std::vector<Member> MembershipServer::Implementation::othersLocked(bool includeDead) const
 {
     auto others = table.members();
-    std::erase_if(others, [&](const Member& it) { return it.node == table.self().node || (!deadToo && it.state == MemberState::Dead); });
+    std::erase_if(others, [&](const Member& it) { return it.node == table.self().node || (!includeDead && it.state == MemberState::Dead); });
     return others;
 }
 
 std::optional<std::pair<Address, GossipMessage>> MembershipServer::Implementation::nextProbeLocked(SteadyTime now)
 {
-    // Each member is probed once before any is probed twice, in an order that differs each round.
-    while (!round.empty()) {
-        auto member = table.find(round.back());
-        round.pop_back();
-        if (!member || !worthProbing(*member))
+    // Round-robin: each member is probed once per round, and the order is shuffled for each round.
+    while (!probeRound.empty()) {
+        auto member = table.find(probeRound.back());
+        probeRound.pop_back();
+        if (!member || !shouldProbe(*member))
             continue;
         probe = Probe { .sequence = nextSequence++, .node = member->node, .incarnation = member->incarnation, .sentAt = now };
         auto message = messageLocked(probe->sequence, true);
-        addStandingLocked(message, member->node);
+        addReceiverStateLocked(message, member->node);
         return std::make_pair(member->gossipAddress(), std::move(message));
     }
     for (const auto& it : othersLocked(true))
-        round.push_back(it.node);
-    std::shuffle(round.begin(), round.end(), random);
+        probeRound.push_back(it.node);
+    std::shuffle(probeRound.begin(), probeRound.end(), random);
     return std::nullopt;
 }
 
-bool MembershipServer::Implementation::worthProbing(const Member& member)
+bool MembershipServer::Implementation::shouldProbe(const Member& member)
 {
-    static constexpr unsigned oneIn = 8;
-    return member.state != MemberState::Dead || random() % oneIn == 0;
+    static constexpr unsigned inverseDeadProbeProbability = 8;
+    return member.state != MemberState::Dead || random() % inverseDeadProbeProbability == 0;
 }
 
 std::vector<std::pair<Address, Frame>> MembershipServer::Implementation::indirectProbesLocked()
@@ -332,10 +333,10 @@
     return frames;
 }
 
-std::vector<Member> MembershipServer::Implementation::sampleLocked(std::size_t count, const std::string& except)
+std::vector<Member> MembershipServer::Implementation::sampleLocked(std::size_t count, const std::string& excludedNode)
 {
     auto others = othersLocked(false);
-    std::erase_if(others, [&](const Member& it) { return it.node == except; });
+    std::erase_if(others, [&](const Member& it) { return it.node == excludedNode; });
     std::shuffle(others.begin(), others.end(), random);
     if (others.size() > count)
         others.resize(count);
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    constexpr Milliseconds tick { 50 };
+    constexpr Milliseconds tickPeriod { 50 };
 
 } // namespace
 
@@ -35,9 +35,9 @@
 
 std::optional<Member> MemberView::answeringNode(const std::string& node, std::uint64_t incarnation) const
 {
-    static constexpr unsigned maximumChain = 32;
+    static constexpr unsigned maximumSuccessions = 32;
     auto key = std::make_pair(node, incarnation);
-    for (unsigned n = 0; n < maximumChain; ++n) {
+    for (unsigned n = 0; n < maximumSuccessions; ++n) {
         auto succession = successions.find(key);
         if (succession == successions.end())
             break;
@@ -86,23 +86,23 @@
 {
     auto& it = *m_implementation;
     unsigned answered = 0;
-    std::set<Address> asked;
-    auto ask = [&](const Address& seed) {
-        if (asked.insert(seed).second && it.joinThrough(seed))
+    std::set<Address> contacted;
+    auto joinVia = [&](const Address& seed) {
+        if (contacted.insert(seed).second && it.joinThrough(seed))
             ++answered;
     };
     for (const auto& seed : it.options.seeds)
-        ask(seed);
-    // Others may hold newer documents than the seeds: ask some more of them, in other zones too.
-    static constexpr unsigned furtherNodes = 3;
-    std::vector<Member> further;
+        joinVia(seed);
+    // Other members may have newer documents than the seeds, so join requests are also sent to a few random members of any zone.
+    static constexpr unsigned additionalNodes = 3;
+    std::vector<Member> additionalMembers;
     {
         std::lock_guard lock(it.mutex);
-        further = it.sampleLocked(furtherNodes, {});
+        additionalMembers = it.sampleLocked(additionalNodes, {});
     }
-    for (const auto& member : further)
-        ask(member.peerAddress());
-    it.subscription = it.timers.every(tick, [&it] { it.onTick(); });
+    for (const auto& member : additionalMembers)
+        joinVia(member.peerAddress());
+    it.subscription = it.timers.every(tickPeriod, [&it] { it.onTick(); });
     return answered;
 }
 
@@ -120,12 +120,12 @@
     {
         std::lock_guard lock(it.mutex);
         it.table.setLeaving(true);
-        it.memberNews.add(it.table.self().node, it.table.self());
-        it.pushWanted = true;
+        it.memberUpdates.add(it.table.self().node, it.table.self());
+        it.pushPending = true;
         it.publish();
     }
     it.notify();
-    it.timers.post([&it] { it.pushNews(); });
+    it.timers.post([&it] { it.pushUpdates(); });
 }
 
 bool MembershipServer::announceMark(const LeavingMark& mark)
@@ -133,9 +133,9 @@
     auto& it = *m_implementation;
     {
         std::lock_guard lock(it.mutex);
-        if (!it.takeMarkLocked(mark))
+        if (!it.applyMarkLocked(mark))
             return false;
-        it.pushWanted = true;
+        it.pushPending = true;
         it.publish();
     }
     it.notify();
@@ -147,20 +147,20 @@
     auto& it = *m_implementation;
     {
         std::lock_guard lock(it.mutex);
-        if (!it.takeSuccessionLocked(succession))
+        if (!it.applySuccessionLocked(succession))
             return;
-        it.pushWanted = true;
+        it.pushPending = true;
         it.publish();
     }
     it.notify();
-    it.timers.post([&it] { it.pushNews(); });
+    it.timers.post([&it] { it.pushUpdates(); });
 }
 
 void MembershipServer::announceDocuments()
 {
     auto& it = *m_implementation;
     std::lock_guard lock(it.mutex);
-    it.pushWanted = true;
+    it.pushPending = true;
 }
 
 std::optional<Frame> MembershipServer::handlePeerFrame(const Frame& frame)
--- a/servers/membership/membership_state.h
+++ b/servers/membership/membership_state.h
@@ -1,8 +1,8 @@
-// The state behind MembershipServer, shared by its source files only.
+// Private implementation of MembershipServer, shared by its source files only.
 #pragma once
 
+#include "servers/membership/gossip_queue.h"
 #include "servers/membership/membership_server.h"
-#include "servers/membership/news_queue.h"
 #include <mutex>
 #include <random>
 
@@ -10,13 +10,13 @@
 
 namespace detail {
 
-    // By which nodes notice that they hold different documents.
+    // Hash of document names and versions. Nodes compare it to detect that their documents differ.
     std::uint64_t digestOf(const std::vector<DocumentVersion>&);
 
 } // namespace detail
 
 struct MembershipServer::Implementation {
-    // A probe that is under way.
+    // The probe of this node that is in progress.
     struct Probe {
         std::uint64_t sequence { 0 };
         std::string node;
@@ -25,8 +25,8 @@
         bool indirectSent { false };
     };
 
-    // A probe that this node makes for another one.
-    struct Relay {
+    // An indirect probe that this node sends for another node (`origin`).
+    struct RelayedProbe {
         std::uint64_t originSequence { 0 };
         Address origin;
         SteadyTime sentAt;
@@ -34,43 +34,52 @@
 
     Implementation(const MembershipOptions&, DocumentHooks, TimerService&, Metrics&);
 
-    // Every function below that ends in "Locked" needs the mutex.
+    // Functions whose names end in "Locked" must be called with the mutex held.
+    // Replaces the view that readers get. Called with the mutex held, except in the constructor.
     void publish();
+    // Calls the subscribers with the current view.
     void notify();
-    bool takeMemberLocked(const Member& member);
-    bool takeMarkLocked(const LeavingMark& mark);
-    bool takeSuccessionLocked(const Succession& succession);
+    // Apply an update and queue it for other nodes. Return whether it was new.
+    bool applyMemberLocked(const Member& member);
+    bool applyMarkLocked(const LeavingMark& mark);
+    bool applySuccessionLocked(const Succession& succession);
 
+    // Builds a message with this node's description and the next queued updates.
     GossipMessage messageLocked(std::uint64_t sequence, bool acknowledgementWanted);
-    // Tells the receiver that it is taken for suspect or dead, where it is.
-    void addStandingLocked(GossipMessage& message, const std::string& receiver) const;
+    // If this node considers the receiver suspect or dead, adds that state to the message, so that the receiver can refute it.
+    void addReceiverStateLocked(GossipMessage& message, const std::string& receiver) const;
     void send(const Address& address, MessageType type, const GossipMessage& message);
     void receive(const Frame& frame);
-    void takeMessage(const GossipMessage& message);
-    void noteDigestLocked(const GossipMessage& message);
+    void processMessage(const GossipMessage& message);
+    // Remembers the sender as a source of documents if its digest differs.
+    void compareDigestLocked(const GossipMessage& message);
     void acknowledge(const GossipMessage& message);
-    void takeAcknowledgement(const GossipMessage& message);
+    void processAcknowledgement(const GossipMessage& message);
     void relayProbe(const IndirectProbeMessage& request);
 
-    // Runs every tick; what has to happen depends on the probe that is under way.
+    // Called periodically: expires suspects, sends direct and indirect probes, pushes updates and fetches documents.
     void onTick();
     bool expireLocked(SteadyTime now);
-    bool missLocked(SteadyTime now);
+    // Marks the probed member as suspect if its probe was not acknowledged. Returns whether its state changed.
+    bool handleMissedProbeLocked(SteadyTime now);
 
-    std::vector<Member> othersLocked(bool deadToo) const;
+    std::vector<Member> othersLocked(bool includeDead) const;
     std::optional<std::pair<Address, GossipMessage>> nextProbeLocked(SteadyTime now);
 
-    // Dead members are still tried now and then, so that two halves of a cut network find each other again.
-    bool worthProbing(const Member& member);
+    // Alive and suspect members are always probed. Dead members are probed occasionally, so that the two sides of a network partition
+    // find each other again.
+    bool shouldProbe(const Member& member);
     std::vector<std::pair<Address, Frame>> indirectProbesLocked();
-    std::vector<Member> sampleLocked(std::size_t count, const std::string& except);
+    // Returns up to `count` random members that are not dead, excluding this node and `excludedNode`.
+    std::vector<Member> sampleLocked(std::size_t count, const std::string& excludedNode);
 
-    // Sends urgent news to a few nodes at once, which do the same: it is everywhere after about log(nodes) ticks.
-    void pushNews();
+    // Sends urgent updates to a few random nodes, which do the same. So an update reaches all nodes after about log(number of nodes) ticks.
+    void pushUpdates();
 
-    // Fetches what the node that last showed another digest has and this one lacks.
+    // Fetches the document updates that this node lacks from the node whose digest differed last.
     void fetchDocuments();
     void applyDocuments(const std::vector<DocumentUpdate>& documents);
+    // Sends a join request to the seed and applies its answer. Returns whether it answered.
     bool joinThrough(const Address& seed);
 
     Frame serveJoin(const JoinRequestMessage& request);
@@ -83,16 +92,16 @@
     MemberTable table;
     LeavingMarks marks;
     std::map<std::pair<std::string, std::uint64_t>, Succession> successions;
-    NewsQueue<Member> memberNews;
-    NewsQueue<LeavingMark> markNews;
-    NewsQueue<Succession> successionNews;
-    std::map<std::uint64_t, Relay> relays;
+    GossipQueue<Member> memberUpdates;
+    GossipQueue<LeavingMark> markUpdates;
+    GossipQueue<Succession> successionUpdates;
+    std::map<std::uint64_t, RelayedProbe> relayedProbes;
     std::optional<Probe> probe;
     std::optional<Address> documentSource;
-    std::vector<std::string> round;
+    std::vector<std::string> probeRound;
     std::uint64_t nextSequence { 1 };
     SteadyTime nextProbeAt;
-    bool pushWanted { false };
+    bool pushPending { false };
     DatagramSocket socket;
     std::mt19937_64 random;
     std::shared_ptr<const MemberView> view;
--- a/servers/platform/cloud_client.cpp
+++ b/servers/platform/cloud_client.cpp
@@ -34,9 +34,9 @@
         return instance;
     }
 
-    // Sends the call and reads its JSON answer with `read`.
+    // Sends the request and decodes its JSON response with `decode`. HTTP 409 means that the cloud has no capacity.
     template <typename Value, typename Read>
-    Result<Value> call(const Address& address, HttpCall request, Read read)
+    Result<Value> call(const Address& address, HttpCall request, Read decode)
     {
         if (request.readTimeout < callTimeout)
             request.readTimeout = callTimeout;
@@ -45,7 +45,7 @@
             return Error { ErrorCode::Exhausted, "cloud: no capacity: " + reply.body };
         if (!reply.ok())
             return Error { ErrorCode::Ambiguous, "cloud: HTTP " + std::to_string(reply.status) + " " + reply.body };
-        return decodeJson<Value>(reply.body, ErrorCode::Ambiguous, "cloud answer", read);
+        return decodeJson<Value>(reply.body, ErrorCode::Ambiguous, "cloud answer", decode);
     }
 
 } // namespace
--- a/servers/platform/cloud_client.h
+++ b/servers/platform/cloud_client.h
@@ -1,4 +1,4 @@
-// Adapter of the platform's cloud API (instances and notices) and of its lagging instance list.
+// Blocking HTTP client of the platform's cloud API (offers, instances, reclaim notices) and of its instance list, which lags behind.
 #pragma once
 
 #include "core/clock.h"
@@ -9,15 +9,15 @@
 
 namespace Onyxnotch {
 
-// How an instance is paid for.
+// Purchase model of an instance.
 enum class Market {
-    Reclaimable,
+    Reclaimable, // The cloud may terminate it at short notice (spot).
     OnDemand,
 };
 
 std::string toString(Market);
 
-// Something that the cloud sells: a machine class in a zone, at a price an hour.
+// An instance type that the cloud offers: a machine class in a zone, with its price per hour.
 struct Offer {
     std::string zone {};
     std::string machineClass {};
@@ -27,10 +27,10 @@
     auto operator<=>(const Offer&) const = default;
 };
 
-// An instance as the cloud knows it.
+// An instance as the cloud API reports it.
 struct CloudInstance {
     std::string id {};
-    std::string clientToken {}; // What the order carried; ordering again with it returns the same instance.
+    std::string clientToken {}; // Idempotency token of the start call: a repeated start with the same token returns the same instance.
     std::string zone {};
     std::string machineClass {};
     Market market { Market::OnDemand };
@@ -40,15 +40,16 @@
     bool operator==(const CloudInstance&) const = default;
 };
 
-// The cloud will take this instance back.
+// Notice that the cloud will terminate a reclaimable instance.
 struct ReclaimNotice {
-    std::uint64_t sequence { 0 };
+    std::uint64_t sequence { 0 }; // Rises with each notice; see CloudClient::notices().
     std::string instance {};
-    Milliseconds timeLeft { 0 }; // Counted from the answer that carried it.
+    Milliseconds timeLeft { 0 }; // From the arrival of the response that carried the notice to the termination.
 
     bool operator==(const ReclaimNotice&) const = default;
 };
 
+// An entry of the instance list.
 struct ListedInstance {
     std::string id {};
     bool leaving { false };
@@ -56,7 +57,7 @@
     bool operator==(const ListedInstance&) const = default;
 };
 
-// Errors: Unavailable, Ambiguous, and Exhausted where the cloud has no capacity for a start.
+// Errors of every call: Unavailable (not executed), Ambiguous (may have been executed), Exhausted (the cloud has no capacity for a start).
 class CloudClient {
 public:
     CloudClient(const Address& cloud, const Address& instanceList);
@@ -65,9 +66,9 @@
     Result<CloudInstance> start(const Offer&, const std::string& clientToken) const;
     Result<std::vector<CloudInstance>> instances() const;
     Status terminate(const std::string& instance) const;
-    // Waits up to `wait` for notices with a sequence over `after`.
+    // Long poll: waits up to `wait` for notices with a sequence number above `after`.
     Result<std::vector<ReclaimNotice>> notices(std::uint64_t after, Milliseconds wait) const;
-    // The instance list: late, and to be read as "leaving" only where it says so.
+    // Returns the instance list. It lags behind: only an explicit "leaving" state counts; a missing instance does not mean that it leaves.
     Result<std::vector<ListedInstance>> listedInstances() const;
 
 private:
--- a/servers/platform/object_client.cpp
+++ b/servers/platform/object_client.cpp
@@ -20,9 +20,9 @@
         };
     }
 
-    Error errorOf(const HttpReply& reply, const std::string& what)
+    Error errorFromReply(const HttpReply& reply, const std::string& operation)
     {
-        auto text = what + ": HTTP " + std::to_string(reply.status) + " " + reply.body;
+        auto text = operation + ": HTTP " + std::to_string(reply.status) + " " + reply.body;
         if (reply.status == HttpStatus::preconditionFailed)
             return Error { ErrorCode::Conflict, text };
         if (reply.status == HttpStatus::tooManyRequests)
@@ -35,9 +35,9 @@
     }
 
     template <typename Value, typename Read>
-    Result<Value> readBody(const HttpReply& reply, Read read)
+    Result<Value> decodeBody(const HttpReply& reply, Read decode)
     {
-        return decodeJson<Value>(reply.body, ErrorCode::Ambiguous, "object API answer", read);
+        return decodeJson<Value>(reply.body, ErrorCode::Ambiguous, "object API answer", decode);
     }
 
     ObjectBatch batchFromJson(const Json& document)
@@ -63,27 +63,27 @@
     if (reply.status == HttpStatus::notFound)
         return std::optional<StoredObject>();
     if (!reply.ok())
-        return errorOf(reply, "get " + key);
-    return readBody<std::optional<StoredObject>>(reply, [](const Json& document) { return std::optional(objectFromJson(document)); });
+        return errorFromReply(reply, "get " + key);
+    return decodeBody<std::optional<StoredObject>>(reply, [](const Json& document) { return std::optional(objectFromJson(document)); });
 }
 
 Result<ObjectBatch> ObjectClient::list(const std::string& prefix, const std::string& afterKey) const
 {
-    ObjectBatch whole;
+    ObjectBatch allObjects;
     auto after = afterKey;
     while (true) {
         HttpCall call { .path = pathWithQuery("/v1/objects", { { "prefix", prefix }, { "after", after } }), .connectTimeout = m_options.connectTimeout, .readTimeout = m_options.callTimeout };
         BOOST_OUTCOME_TRY(reply, sendHttp(m_options.address, call));
         if (!reply.ok())
-            return errorOf(reply, "list " + prefix);
-        BOOST_OUTCOME_TRY(page, readBody<ObjectBatch>(reply, batchFromJson));
-        // The first page's revision is the safe one to watch from: what changed since is seen again.
-        if (whole.revision == 0)
-            whole.revision = page.revision;
+            return errorFromReply(reply, "list " + prefix);
+        BOOST_OUTCOME_TRY(page, decodeBody<ObjectBatch>(reply, batchFromJson));
+        // Watching must start at the first page's revision: changes made while later pages were read are then reported again, not missed.
+        if (allObjects.revision == 0)
+            allObjects.revision = page.revision;
         if (page.objects.empty())
-            return whole;
+            return allObjects;
         after = page.objects.back().key;
-        whole.objects.insert(whole.objects.end(), page.objects.begin(), page.objects.end());
+        allObjects.objects.insert(allObjects.objects.end(), page.objects.begin(), page.objects.end());
     }
 }
 
@@ -99,8 +99,8 @@
     };
     BOOST_OUTCOME_TRY(reply, sendHttp(m_options.address, call));
     if (!reply.ok())
-        return errorOf(reply, "put " + key);
-    return readBody<std::uint64_t>(reply, [](const Json& document) { return document.at("version").get<std::uint64_t>(); });
+        return errorFromReply(reply, "put " + key);
+    return decodeBody<std::uint64_t>(reply, [](const Json& document) { return document.at("version").get<std::uint64_t>(); });
 }
 
 Result<std::uint64_t> ObjectClient::create(const std::string& key, const std::string& value) const
@@ -124,7 +124,7 @@
     };
     BOOST_OUTCOME_TRY(reply, sendHttp(m_options.address, call));
     if (!reply.ok())
-        return errorOf(reply, "remove " + key);
+        return errorFromReply(reply, "remove " + key);
     return success();
 }
 
@@ -137,8 +137,8 @@
     };
     BOOST_OUTCOME_TRY(reply, sendHttp(m_options.address, call));
     if (!reply.ok())
-        return errorOf(reply, "watch " + prefix);
-    return readBody<ObjectBatch>(reply, batchFromJson);
+        return errorFromReply(reply, "watch " + prefix);
+    return decodeBody<ObjectBatch>(reply, batchFromJson);
 }
 
 } // namespace Onyxnotch
--- a/servers/platform/object_client.h
+++ b/servers/platform/object_client.h
@@ -1,4 +1,5 @@
-// Adapter of the platform's object API: versions, conditional updates, watches. Its wire format is known in this class alone.
+// Blocking HTTP client of the platform's object API: versioned objects, conditional updates and watches.
+// The API's wire format is known in this class only.
 #pragma once
 
 #include "core/clock.h"
@@ -11,17 +12,17 @@
 
 namespace Onyxnotch {
 
-// A stored value with the version that the API gave it. Versions of one key only grow.
+// A stored value with the version that the API assigned. Versions of a key only increase.
 struct StoredObject {
     std::string key {};
     std::uint64_t version { 0 };
     std::string value {}; // JSON text, at most 1 MB.
-    bool removed { false }; // Only in watch events.
+    bool removed { false }; // Set only in watch events: the key was deleted.
 
     bool operator==(const StoredObject&) const = default;
 };
 
-// What a watch or a list returned, and the revision of the whole store to go on from.
+// Result of a list or a watch. `revision` is the store-wide revision from which the next watch should start.
 struct ObjectBatch {
     std::vector<StoredObject> objects {};
     std::uint64_t revision { 0 };
@@ -33,24 +34,27 @@
     Milliseconds callTimeout { 2000 };
 };
 
-// Errors of every call: Unavailable (not carried out), Ambiguous (may have been carried out), Exhausted (over the call rate).
+// Errors of every call: Unavailable (not executed), Ambiguous (may have been executed), Exhausted (call rate limit exceeded).
 class ObjectClient {
 public:
     explicit ObjectClient(const ObjectClientOptions&);
 
-    // Empty where the key does not exist: an answer of the API, never the meaning of an error.
+    // Returns nothing if the API answered that the key does not exist. A failed call is returned as an error instead.
     Result<std::optional<StoredObject>> get(const std::string& key) const;
-    // Objects whose key begins with `prefix` and is greater than `afterKey`, in key order, all pages.
+    // Returns all objects whose key begins with `prefix` and is greater than `afterKey`, in key order. Fetches all pages.
     Result<ObjectBatch> list(const std::string& prefix, const std::string& afterKey = {}) const;
-    // Creates the key. Errors besides: Conflict where it exists.
+    // Creates the key and returns its version. Additional error: Conflict if the key exists.
     Result<std::uint64_t> create(const std::string& key, const std::string& value) const;
-    // Replaces the value of that version. Errors besides: Conflict where the version is another.
+    // Replaces the value if the key still has this version; returns the new version. Additional error: Conflict if the version differs.
     Result<std::uint64_t> update(const std::string& key, const std::string& value, std::uint64_t version) const;
+    // Deletes the key if it still has this version. Additional errors: Conflict if the version differs, NotFound.
     Status remove(const std::string& key, std::uint64_t version) const;
-    // Waits up to `wait` for events after `revision`; an empty batch where there are none. Counts as one call.
+    // Long poll: waits up to `wait` for changes after `revision`; returns an empty batch if there are none. Counts as one call for the
+    // rate limit.
     Result<ObjectBatch> watch(const std::string& prefix, std::uint64_t revision, Milliseconds wait) const;
 
 private:
+    // Conditional write; the condition is sent as the header field `conditionName`.
     Result<std::uint64_t> put(const std::string& key, const std::string& value, const std::string& conditionName, const std::string& condition) const;
 
     ObjectClientOptions m_options;
--- a/tests/servers/membership/test_leaving_marks.cpp
+++ b/tests/servers/membership/test_leaving_marks.cpp
@@ -26,20 +26,20 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_mark_never_goes_away_and_says_what_is_new)
+BOOST_AUTO_TEST_CASE(adding_a_mark_returns_it_only_if_it_changed)
 {
     LeavingMarks marks;
     BOOST_CHECK(marks.add({ .endpoint = "e", .deadlineWallMilliseconds = 0, .source = LeavingSource::InstanceList }));
     BOOST_CHECK(!marks.add({ .endpoint = "e", .deadlineWallMilliseconds = 0, .source = LeavingSource::Operator }));
-    // The cloud's notice comes after the list: now the deadline is known.
-    auto joined = marks.add({ .endpoint = "e", .deadlineWallMilliseconds = 900, .source = LeavingSource::CloudNotice });
-    BOOST_REQUIRE(joined);
-    BOOST_CHECK_EQUAL(joined->deadlineWallMilliseconds, 900);
+    // A cloud notice after the instance list adds the deadline.
+    auto merged = marks.add({ .endpoint = "e", .deadlineWallMilliseconds = 900, .source = LeavingSource::CloudNotice });
+    BOOST_REQUIRE(merged);
+    BOOST_CHECK_EQUAL(merged->deadlineWallMilliseconds, 900);
     BOOST_CHECK(!marks.add({ .endpoint = "e", .deadlineWallMilliseconds = 950, .source = LeavingSource::CloudNotice }));
     BOOST_CHECK(marks.contains("e"));
 }
 
-BOOST_AUTO_TEST_CASE(at_the_limit_the_first_mark_is_dropped)
+BOOST_AUTO_TEST_CASE(a_full_set_drops_the_oldest_mark)
 {
     LeavingMarks marks(2);
     for (const auto* it : { "b", "a", "c" })
--- a/tests/servers/membership/test_member_table.cpp
+++ b/tests/servers/membership/test_member_table.cpp
@@ -1,5 +1,5 @@
+#include "servers/membership/gossip_queue.h"
 #include "servers/membership/member_table.h"
-#include "servers/membership/news_queue.h"
 #include "tests/property.h"
 #include <algorithm>
 
@@ -16,28 +16,28 @@
 
 BOOST_AUTO_TEST_SUITE(MemberTables)
 
-BOOST_AUTO_TEST_CASE(the_order_of_news_does_not_matter)
+BOOST_AUTO_TEST_CASE(the_order_of_updates_does_not_matter)
 {
     Tests::checkProperty("same news in another order", [](const std::vector<std::pair<unsigned char, unsigned char>>& values) {
-        std::vector<Member> news;
+        std::vector<Member> updates;
         for (const auto& [first, second] : values) {
             auto it = memberNamed(std::string(1, static_cast<char>('a' + first % 3)), first % 2 + 1, second % 3, static_cast<MemberState>(second % 3));
             it.leaving = second % 5 == 0;
-            news.push_back(it);
+            updates.push_back(it);
         }
         auto now = SteadyTime();
         MemberTable forwards(memberNamed("self"), {});
         MemberTable backwards(memberNamed("self"), {});
-        for (const auto& it : news)
+        for (const auto& it : updates)
             forwards.apply(it, now);
-        std::reverse(news.begin(), news.end());
-        for (const auto& it : news)
+        std::reverse(updates.begin(), updates.end());
+        for (const auto& it : updates)
             backwards.apply(it, now);
         RC_ASSERT(forwards.members() == backwards.members());
     });
 }
 
-BOOST_AUTO_TEST_CASE(one_missed_probe_is_no_verdict)
+BOOST_AUTO_TEST_CASE(a_suspect_that_answers_a_probe_is_alive_again)
 {
     auto now = SteadyTime();
     MemberTable table(memberNamed("self"), { .suspicionTime = Milliseconds(3000) });
@@ -49,7 +49,7 @@
     BOOST_CHECK(table.find("a")->state == MemberState::Alive);
 }
 
-BOOST_AUTO_TEST_CASE(a_suspect_that_stays_silent_dies_and_its_next_process_lives)
+BOOST_AUTO_TEST_CASE(a_silent_suspect_becomes_dead_and_its_next_incarnation_is_alive)
 {
     auto now = SteadyTime();
     MemberTable table(memberNamed("self"), { .suspicionTime = Milliseconds(3000) });
@@ -61,7 +61,7 @@
     BOOST_CHECK(table.find("a")->state == MemberState::Alive);
 }
 
-BOOST_AUTO_TEST_CASE(a_node_refutes_its_own_death)
+BOOST_AUTO_TEST_CASE(a_node_refutes_a_report_about_itself_by_a_higher_revision)
 {
     MemberTable table(memberNamed("self", 7, 3), {});
     BOOST_CHECK(table.apply(memberNamed("self", 7, 3, MemberState::Suspect), SteadyTime()));
@@ -78,15 +78,15 @@
     BOOST_CHECK_EQUAL(table.members().size(), 3);
 }
 
-BOOST_AUTO_TEST_CASE(news_goes_out_a_bounded_number_of_times)
+BOOST_AUTO_TEST_CASE(an_update_is_sent_a_bounded_number_of_times)
 {
-    NewsQueue<int> queue(2);
+    GossipQueue<int> queue(2);
     BOOST_CHECK(queue.add("a", 1));
     BOOST_CHECK(queue.add("b", 2));
     BOOST_CHECK(!queue.add("c", 3));
     unsigned sends = 0;
     while (!queue.empty())
-        sends += queue.take(1, 6).size();
+        sends += queue.nextBatch(1, 6).size();
     BOOST_CHECK_EQUAL(sends, 2 * 9);
 }
 
--- a/tests/servers/membership/test_membership_probes.cpp
+++ b/tests/servers/membership/test_membership_probes.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Other nodes, as their datagrams show them: one socket speaks for all of them.
+// Simulates all other nodes by a single datagram socket.
 class OtherNodes {
 public:
     OtherNodes()
-        : m_socket("127.0.0.1", 0, [this](const Frame& frame) { take(frame); })
+        : m_socket("127.0.0.1", 0, [this](const Frame& frame) { receive(frame); })
     {
         BOOST_REQUIRE(m_socket.start());
     }
@@ -23,8 +23,8 @@
         return { .node = node, .incarnation = 1, .state = state, .host = "127.0.0.1", .gossipPort = m_socket.address().port };
     }
 
-    // Sends a probe from that node with some news, and returns what the acknowledgement tells of members.
-    std::vector<Member> probe(const Address& target, const Member& sender, const std::vector<Member>& news)
+    // Sends a probe as `sender` that carries `updates`, and returns the members that the acknowledgement carries.
+    std::vector<Member> probe(const Address& target, const Member& sender, const std::vector<Member>& updates)
     {
         auto sequence = ++m_sequence;
         std::future<GossipMessage> answer;
@@ -33,13 +33,13 @@
             m_answer = std::promise<GossipMessage>();
             answer = m_answer->get_future();
         }
-        m_socket.send(target, packMessage(MessageType::Gossip, GossipMessage { .sequence = sequence, .acknowledgementWanted = true, .sender = sender, .members = news }));
+        m_socket.send(target, packMessage(MessageType::Gossip, GossipMessage { .sequence = sequence, .acknowledgementWanted = true, .sender = sender, .members = updates }));
         BOOST_REQUIRE(answer.wait_for(std::chrono::seconds(10)) == std::future_status::ready);
         return answer.get().members;
     }
 
 private:
-    void take(const Frame& frame)
+    void receive(const Frame& frame)
     {
         auto message = unpackMessage<GossipMessage>(MessageType::GossipAcknowledgement, frame);
         std::lock_guard lock(m_mutex);
@@ -55,7 +55,7 @@
     DatagramSocket m_socket;
 };
 
-bool tellsDead(const std::vector<Member>& members, const std::string& node)
+bool reportsDead(const std::vector<Member>& members, const std::string& node)
 {
     return std::any_of(members.begin(), members.end(), [&](const Member& it) { return it.node == node && it.state == MemberState::Dead; });
 }
@@ -64,8 +64,9 @@
 
 BOOST_AUTO_TEST_SUITE(MembershipProbes)
 
-// A cut that let nothing through to the node for longer than its death was news: nobody else would ever tell it.
-BOOST_AUTO_TEST_CASE(a_node_that_is_taken_for_dead_is_told_so_when_the_news_is_old)
+// A node was unreachable until the update about its death had been sent as often as updates are sent. When the node is reachable again,
+// the acknowledgement of its probe must still report it as dead, since otherwise it could never refute that.
+BOOST_AUTO_TEST_CASE(a_reachable_node_learns_that_it_is_dead_after_the_update_was_dropped)
 {
     TimerService timers;
     Metrics metrics;
@@ -75,16 +76,16 @@
     OtherNodes others;
     auto address = server.listenAddress();
     others.probe(address, others.member("teller"), { others.member("home", MemberState::Dead) });
-    constexpr unsigned manySends = 64;
-    bool isNews = true;
-    for (unsigned n = 0; n < manySends && isNews; ++n)
-        isNews = tellsDead(others.probe(address, others.member("teller"), {}), "home");
-    BOOST_REQUIRE(!isNews);
-    BOOST_CHECK(tellsDead(others.probe(address, others.member("home"), {}), "home"));
-    // It says that it lives, with a later revision: then there is nothing more to tell.
+    constexpr unsigned maximumProbes = 64;
+    bool isReported = true;
+    for (unsigned n = 0; n < maximumProbes && isReported; ++n)
+        isReported = reportsDead(others.probe(address, others.member("teller"), {}), "home");
+    BOOST_REQUIRE(!isReported);
+    BOOST_CHECK(reportsDead(others.probe(address, others.member("home"), {}), "home"));
+    // The node refutes its death with a higher revision, so it is no longer reported as dead.
     auto alive = others.member("home");
     alive.revision = 1;
-    BOOST_CHECK(!tellsDead(others.probe(address, alive, {}), "home"));
+    BOOST_CHECK(!reportsDead(others.probe(address, alive, {}), "home"));
     BOOST_CHECK(server.view()->find("home")->state == MemberState::Alive);
     server.stop();
 }
