--- a/main/daemon.h
+++ b/main/daemon.h
@@ -1,4 +1,5 @@
-// What the daemons' main functions have in common: arguments, settings, logs, the order of start and stop.
+// Common main function of the daemons (gateway and controller): parses arguments, reads settings, starts the log, and runs the daemon until
+// it is stopped by a signal.
 #pragma once
 
 #include "core/command_line.h"
@@ -8,13 +9,14 @@
 
 namespace Onyxnotch {
 
-// Reads the settings with `read`, runs a `Daemon` until it is stopped, and returns the exit code.
+// Reads the settings with `readOptions` and runs a `Daemon` until a stop signal. Returns the exit code if the daemon does not start or only
+// checks its settings; otherwise ends the process.
 template <typename Daemon, typename Options>
-int runDaemon(const std::string& component, const std::string& usage, int argc, char** argv, Result<Options> (*read)(const std::string&))
+int runDaemon(const std::string& component, const std::string& usage, int argc, char** argv, Result<Options> (*readOptions)(const std::string&))
 {
     CommandLine arguments(usage, argc, argv);
     auto path = arguments.text("--settings");
-    auto options = read(path);
+    auto options = readOptions(path);
     if (!options) {
         std::cerr << options.error().message << std::endl;
         return static_cast<int>(ExitCode::Usage);
@@ -36,8 +38,8 @@
     logEvent(LogLevel::Info, "listening", { { "http", daemon.httpAddress().text() }, { "peer", daemon.peerAddress().text() } });
     daemon.runUntilStopped(signal);
     logEvent(LogLevel::Info, "stopped");
-    // Everything that others need has been handed over. Destructors would only wait for long polls of the platform's services, and
-    // an instance on notice has no time for that.
+    // The daemon has handed over everything that other nodes need. Running destructors would only wait for pending long polls of the
+    // platform's services, and an instance that the cloud is about to terminate has no time for that.
     std::_Exit(static_cast<int>(ExitCode::Success));
 }
 
--- a/main/entry_main.cpp
+++ b/main/entry_main.cpp
@@ -30,6 +30,7 @@
   --version                 Show the version.
 )";
 
+// The settings path: from --settings, or from the environment variable that --settings-from names.
 std::string settingsPath(const CommandLine& arguments)
 {
     auto variable = arguments.text("--settings-from");
@@ -39,6 +40,7 @@
     return path ? path : "";
 }
 
+// Connects the node's ports to the platform's adapters.
 EntryPorts platformPorts(const EntrySettings& settings)
 {
     return {
@@ -51,77 +53,78 @@
     };
 }
 
-// Whether a running process can take over the newer settings; listening addresses and names stay as they are until it starts again.
+// Whether the new settings differ in a member that a running process cannot change, such as names, addresses and duties.
 bool needsRestart(const EntrySettings& running, const EntrySettings& newer)
 {
-    auto fixed = [](const EntrySettings& it) {
+    auto restartOnlySettings = [](const EntrySettings& it) {
         const auto& entry = it.entry;
         return std::tie(entry.node, entry.zone, entry.callers, entry.readiness, entry.control, entry.gossip, it.store, it.cloud, entry.duties.reportsUsage,
             entry.duties.ordersEndpoints, entry.duties.lease.duration, entry.duties.usage.windowMilliseconds);
     };
-    return fixed(running) != fixed(newer);
+    return restartOnlySettings(running) != restartOnlySettings(newer);
 }
 
-// Takes signals on the main thread until the node has drained, and reads the settings again where they have changed.
+// Runs on the main thread. SIGHUP or a changed settings file reloads the settings; SIGTERM or SIGINT stops the node and ends the loop.
 class SignalLoop {
 public:
     SignalLoop(EntryNode& node, std::string path, EntrySettings settings)
         : m_node(node)
         , m_path(std::move(path))
         , m_settings(std::move(settings))
-        , m_text(readText())
+        , m_fileText(readFileText())
     {
-        wait();
-        lookAgain();
+        waitForSignal();
+        scheduleFileCheck();
     }
 
     void run() { m_context.run(); }
 
 private:
-    // The file may change without a signal.
-    void lookAgain()
+    // Checks periodically whether the settings file changed, because a change may come without a signal.
+    void scheduleFileCheck()
     {
-        constexpr Milliseconds lookPeriod { 5000 }; // Changes of settings are rare, and a look costs a read of some hundred bytes.
-        m_timer.expires_after(lookPeriod);
+        constexpr Milliseconds fileCheckPeriod { 5000 }; // Changes are rare; each check reads a file of a few hundred bytes.
+        m_timer.expires_after(fileCheckPeriod);
         m_timer.async_wait([this](const asio::error_code& ec) {
             if (ec)
                 return;
-            if (readText() != m_text)
+            if (readFileText() != m_fileText)
                 reload("file_changed");
-            lookAgain();
+            scheduleFileCheck();
         });
     }
 
-    // Empty where it cannot be read: readEntrySettings() says why.
-    std::string readText() const
+    // Returns an empty string if the file cannot be read; readEntrySettings() then reports the error.
+    std::string readFileText() const
     {
         auto text = readFile(m_path);
         return text ? text.value() : std::string();
     }
 
+    // Applies the settings file. Invalid settings are logged and ignored.
     void reload(std::string_view cause)
     {
-        m_text = readText();
+        m_fileText = readFileText();
         auto read = readEntrySettings(m_path);
         if (!read) {
             logEvent(LogLevel::Error, "settings_refused", { { "cause", cause }, { "error", read.error().message } });
             return;
         }
-        bool restart = needsRestart(m_settings, read.value());
+        bool isRestartNeeded = needsRestart(m_settings, read.value());
         m_settings.logLevel = read.value().logLevel;
         setMinimumLogLevel(m_settings.logLevel);
         m_node.apply(read.value().entry);
-        logEvent(LogLevel::Info, "settings_applied", { { "cause", cause }, { "needs_restart", restart ? 1 : 0 } });
+        logEvent(LogLevel::Info, "settings_applied", { { "cause", cause }, { "needs_restart", isRestartNeeded ? 1 : 0 } });
     }
 
-    void wait()
+    void waitForSignal()
     {
         m_signals.async_wait([this](const asio::error_code& ec, int signal) {
             if (ec)
                 return;
             if (signal == SIGHUP) {
                 reload("signal");
-                wait();
+                waitForSignal();
                 return;
             }
             m_timer.cancel();
@@ -131,8 +134,8 @@
 
     EntryNode& m_node;
     std::string m_path;
-    EntrySettings m_settings; // As the process started, but for the log level.
-    std::string m_text; // Of the file, when it was read last.
+    EntrySettings m_settings; // Settings from the process start, except for the log level, which follows reloads.
+    std::string m_fileText; // Content of the settings file when it was last read.
     asio::io_context m_context { 1 };
     SteadyTimer m_timer { m_context };
     asio::signal_set m_signals { m_context, SIGTERM, SIGINT, SIGHUP };
@@ -153,7 +156,7 @@
         std::cout << path << ": settings are valid" << std::endl;
         return static_cast<int>(ExitCode::Success);
     }
-    // A peer that closes early must not end the process.
+    // Writing to a connection that the peer closed must not terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
     const auto& options = settings.value().entry;
     startLog({ .component = "entry", .instance = options.node, .zone = options.zone, .minimumLevel = settings.value().logLevel, .buffered = true });
@@ -171,6 +174,6 @@
     signals.run();
     node.wait();
     flushLog();
-    // Connections to the store may wait for changes that never come.
+    // Skips destructors, which would wait for pending store watches.
     std::_Exit(static_cast<int>(ExitCode::Success));
 }
--- a/main/entry_settings.cpp
+++ b/main/entry_settings.cpp
@@ -75,15 +75,16 @@
     }
 })json";
 
-    constexpr unsigned reservedDescriptors = 300; // For files, the store's connections and those to endpoints that start up.
-    constexpr double callerPart = 0.6; // Of the other descriptors; the rest is for connections to endpoints.
+    constexpr unsigned reservedDescriptors = 300; // For files, connections to the store, and connections to endpoints that are starting.
+    constexpr double clientDescriptorShare = 0.6; // Share of the remaining descriptors for client connections; the others are for endpoints.
 
-    constexpr double heldPart = 0.25; // Of the memory, for bodies of requests; sockets' buffers and everything else take the rest.
+    constexpr double bodyMemoryShare = 0.25; // Share of the memory for buffered request bodies; the remainder is for everything else, such
+                                             // as socket buffers.
     constexpr double bytesInMegabyte = 1048576;
     constexpr double percentInCore = 100;
 
     Milliseconds milliseconds(const Json& value) { return Milliseconds(static_cast<std::int64_t>(value.get<double>())); }
-    Milliseconds secondsOf(const Json& value) { return Milliseconds(static_cast<std::int64_t>(value.get<double>() * 1000)); }
+    Milliseconds millisecondsFromSeconds(const Json& value) { return Milliseconds(static_cast<std::int64_t>(value.get<double>() * 1000)); }
 
     Result<EntrySettings> decode(const Json& document)
     {
@@ -92,12 +93,12 @@
         entry.node = document["instance"];
         entry.zone = document["zone"];
         const auto& listen = document["listen"];
-        struct Target {
+        struct AddressSetting {
             const Json& text;
             Address& address;
         };
-        for (auto& it : { Target { listen["callers"], entry.callers }, Target { listen["readiness"], entry.readiness },
-                 Target { listen["control"], entry.control }, Target { document["store"], settings.store } }) {
+        for (auto& it : { AddressSetting { listen["callers"], entry.callers }, AddressSetting { listen["readiness"], entry.readiness },
+                 AddressSetting { listen["control"], entry.control }, AddressSetting { document["store"], settings.store } }) {
             auto address = parseAddress(it.text.get<std::string>());
             if (!address)
                 return address.error();
@@ -121,26 +122,26 @@
         auto descriptors = document["limits"]["descriptors"].get<unsigned>();
         entry.forward.names = Platform::wireNames();
         entry.forward.zone = entry.zone;
-        entry.forward.maximumCallers = static_cast<unsigned>((std::max(descriptors, reservedDescriptors + 64) - reservedDescriptors) * callerPart);
-        entry.forward.maximumHeldBytes = static_cast<std::size_t>(document["limits"]["memoryMegabytes"].get<double>() * bytesInMegabyte * heldPart);
+        entry.forward.maximumCallers = static_cast<unsigned>((std::max(descriptors, reservedDescriptors + 64) - reservedDescriptors) * clientDescriptorShare);
+        entry.forward.maximumHeldBytes = static_cast<std::size_t>(document["limits"]["memoryMegabytes"].get<double>() * bytesInMegabyte * bodyMemoryShare);
         entry.forward.startWait = milliseconds(document["startWaitMs"]);
-        entry.forward.usageWindowMilliseconds = static_cast<unsigned>(secondsOf(document["usageWindowSeconds"]).count());
+        entry.forward.usageWindowMilliseconds = static_cast<unsigned>(millisecondsFromSeconds(document["usageWindowSeconds"]).count());
         entry.retries = { .perRequest = document["retries"]["perRequest"], .reserve = document["retries"]["reserve"] };
         auto& rollouts = entry.rollouts;
         rollouts.plan.canaryShare = document["rollouts"]["canaryShare"];
         rollouts.plan.canarySlack = document["rollouts"]["canarySlack"];
         rollouts.enabled = rollouts.plan.canaryShare > 0;
         entry.forward.rollouts = rollouts.enabled;
-        entry.forward.suspects = { .node = entry.node, .livesUntilBlocked = document["suspects"]["livesUntilBlocked"], .blockedFor = secondsOf(document["suspects"]["blockedSeconds"]) };
+        entry.forward.suspects = { .node = entry.node, .livesUntilBlocked = document["suspects"]["livesUntilBlocked"], .blockedFor = millisecondsFromSeconds(document["suspects"]["blockedSeconds"]) };
         entry.relays = document["relays"];
         entry.watching.everyNodeUpTo = document["everyNodeUpTo"];
-        entry.grace = secondsOf(document["graceSeconds"]);
+        entry.grace = millisecondsFromSeconds(document["graceSeconds"]);
         auto lease = milliseconds(document["leaseMs"]);
         entry.duties.node = entry.node;
-        // Three renewals in a lease: one lost call does not cost the duty.
+        // Three renewals per lease duration, so that one failed renewal does not lose the duty.
         entry.duties.lease = { .duration = lease, .renewEvery = lease / 3 };
         entry.duties.usage.windowMilliseconds = entry.forward.usageWindowMilliseconds;
-        entry.duties.usage.dueMilliseconds = static_cast<std::uint64_t>(secondsOf(document["usageDueSeconds"]).count());
+        entry.duties.usage.dueMilliseconds = static_cast<std::uint64_t>(millisecondsFromSeconds(document["usageDueSeconds"]).count());
         auto duties = document["duties"].get<std::vector<std::string>>();
         entry.duties.reportsUsage = hasCloud && Platform::includesUsageReports(duties);
         entry.duties.ordersEndpoints = hasCloud && Platform::includesEndpointOrders(duties);
--- a/main/entry_settings.h
+++ b/main/entry_settings.h
@@ -1,4 +1,4 @@
-// Settings of onyxnotch-entry: JSON, checked against a schema that also holds every default.
+// Reads the settings file of onyxnotch-entry: JSON that is validated against a schema, which also defines the defaults.
 #pragma once
 
 #include "core/log.h"
@@ -6,6 +6,7 @@
 
 namespace Onyxnotch {
 
+// Settings of an entry node, decoded into the options of its parts.
 struct EntrySettings {
     EntryOptions entry {};
     Address store {};
@@ -13,9 +14,10 @@
     LogLevel logLevel { LogLevel::Info };
 };
 
+// The JSON Schema of the settings file.
 const std::string& entrySettingsSchema();
 
-// Errors: InvalidArgument, naming the file and the key as a JSON pointer.
+// Reads and validates the file. Errors: InvalidArgument, with the file and the JSON pointer of the invalid key.
 Result<EntrySettings> readEntrySettings(const std::string& path);
 
 } // namespace Onyxnotch
--- a/main/load_main.cpp
+++ b/main/load_main.cpp
@@ -29,7 +29,7 @@
   --version             Show the version.
 )";
 
-std::vector<std::string> linesOf(const std::string& text)
+std::vector<std::string> nonEmptyLines(const std::string& text)
 {
     std::vector<std::string> lines;
     std::istringstream stream(text);
@@ -57,7 +57,7 @@
     auto keys = readFile(arguments.text("--key-file"));
     if (!keys)
         return fail(keys.error());
-    LoadOptions options { .teamKeys = linesOf(keys.value()) };
+    LoadOptions options { .teamKeys = nonEmptyLines(keys.value()) };
     for (const auto& it : arguments.list("--gateway")) {
         auto address = parseAddress(it);
         if (!address)
--- a/main/operator_commands.cpp
+++ b/main/operator_commands.cpp
@@ -64,7 +64,8 @@
         return ExitCode::Failed;
     }
 
-    std::string describe(const std::string& path, const std::vector<DeclarationProblem>& problems)
+    // Formats problems for the terminal, one per line.
+    std::string formatProblems(const std::string& path, const std::vector<DeclarationProblem>& problems)
     {
         std::string text;
         for (const auto& it : problems)
@@ -72,7 +73,7 @@
         return text;
     }
 
-    // The file's objects. Errors: InvalidArgument with every problem, a line each.
+    // Reads a declaration file. Errors: InvalidArgument with all problems, one per line.
     Result<Declaration> loadDeclaration(const std::string& path)
     {
         BOOST_OUTCOME_TRY(text, readFile(path));
@@ -82,40 +83,42 @@
         std::vector<DeclarationProblem> problems;
         auto declaration = readDeclaration(document.value(), problems);
         if (!problems.empty())
-            return Error { ErrorCode::InvalidArgument, describe(path, problems) };
+            return Error { ErrorCode::InvalidArgument, formatProblems(path, problems) };
         return declaration;
     }
 
-    // The change that brings the declaration into a configuration; objects that are the same already are left out.
-    Result<ConfigurationChange> changeFor(const std::string& path, const Declaration& declaration, const Configuration& current)
+    // Builds the change that applies the declaration to the current configuration. Objects that would not change are left out.
+    // Errors: InvalidArgument if the resulting configuration breaks a rule.
+    Result<ConfigurationChange> buildChange(const std::string& path, const Declaration& declaration, const Configuration& current)
     {
         ConfigurationChange change { .version = current.version() + 1 };
         for (const auto& it : declaration.objects) {
-            const auto* known = current.find(it.name);
-            if (!known || known->spec != it.spec || known->labels != it.labels)
+            const auto* existing = current.find(it.name);
+            if (!existing || existing->spec != it.spec || existing->labels != it.labels)
                 change.upserts.push_back(it);
         }
         BOOST_OUTCOME_TRY(result, current.with(change));
         auto problems = checkRules(result, declaration);
         if (!problems.empty())
-            return Error { ErrorCode::InvalidArgument, describe(path, problems) };
+            return Error { ErrorCode::InvalidArgument, formatProblems(path, problems) };
         return change;
     }
 
-    ExitCode commit(const Address& objects, std::uint64_t base, const ConfigurationStore::ChangeBuilder& build)
+    // Commits the change that `build` returns, and prints the new version.
+    ExitCode commit(const Address& objects, std::uint64_t baseVersion, const ConfigurationStore::ChangeBuilder& build)
     {
         ObjectClient client({ .address = objects });
-        auto result = ConfigurationStore(client).commit(randomHex(operationIdBytes), base, build);
+        auto result = ConfigurationStore(client).commit(randomHex(operationIdBytes), baseVersion, build);
         if (!result)
             return fail(result.error());
         std::cout << "version " << result.value().version << std::endl;
         return ExitCode::Success;
     }
 
-    // The first gateway's JSON answer.
-    Result<Json> askGateways(const std::vector<Address>& gateways, const std::string& key, const std::string& path)
+    // Sends a GET request to one gateway after the other and returns the first successful JSON answer, otherwise the last error.
+    Result<Json> queryGateways(const std::vector<Address>& gateways, const std::string& key, const std::string& path)
     {
-        Error last { ErrorCode::Unavailable, "no gateway was named" };
+        Error last { ErrorCode::Unavailable, "no gateway was specified" };
         for (const auto& it : gateways) {
             auto reply = sendHttp(it, { .path = path, .headers = { { "Authorization", "Bearer " + key } } });
             if (reply && reply.value().ok())
@@ -125,7 +128,8 @@
         return last;
     }
 
-    void printAnswer(const ClientAnswer& answer)
+    // Prints the outcome of a request as JSON to standard error.
+    void printOutcome(const ClientAnswer& answer)
     {
         std::cerr << Json { { "outcome", toString(answer.outcome) }, { "request_id", answer.requestId }, { "reason", answer.reason }, { "tries", answer.tries }, { "moves", answer.moves } }.dump() << std::endl;
     }
@@ -145,19 +149,19 @@
             return fail(loaded.error());
         current = loaded.value();
     }
-    auto change = changeFor(path, declaration.value(), current);
+    auto change = buildChange(path, declaration.value(), current);
     if (!change)
         return fail(change.error());
     std::cout << path << ": valid, " << change.value().upserts.size() << " objects would change" << std::endl;
     return ExitCode::Success;
 }
 
-ExitCode applyDeclaration(const std::string& path, const Address& objects, std::uint64_t base)
+ExitCode applyDeclaration(const std::string& path, const Address& objects, std::uint64_t baseVersion)
 {
     auto declaration = loadDeclaration(path);
     if (!declaration)
         return fail(declaration.error());
-    return commit(objects, base, [&](const Configuration& current) { return changeFor(path, declaration.value(), current); });
+    return commit(objects, baseVersion, [&](const Configuration& current) { return buildChange(path, declaration.value(), current); });
 }
 
 ExitCode deleteObject(const std::string& kind, const std::string& name, const Address& objects)
@@ -173,7 +177,7 @@
         BOOST_OUTCOME_TRY(result, current.with(change));
         auto problems = checkRules(result, {});
         if (!problems.empty())
-            return Error { ErrorCode::InvalidArgument, describe(object.text(), problems) };
+            return Error { ErrorCode::InvalidArgument, formatProblems(object.text(), problems) };
         return change;
     });
 }
@@ -194,8 +198,8 @@
         return fail(configuration.error());
     Json document { { "version", configuration.value().version() }, { "objects", Json::array() } };
     for (const auto& [objectName, object] : configuration.value().objects()) {
-        bool wanted = (kind.empty() || toString(objectName.kind) == kind) && (name.empty() || objectName.name == name);
-        if (wanted)
+        bool isSelected = (kind.empty() || toString(objectName.kind) == kind) && (name.empty() || objectName.name == name);
+        if (isSelected)
             document["objects"].push_back(objectToJson(object));
     }
     std::cout << document.dump(2) << std::endl;
@@ -210,18 +214,18 @@
     if (!loaded)
         return fail(loaded.error());
     auto version = loaded.value().version();
-    auto position = client.watch(std::string(ConfigurationStore::changePrefix), ~std::uint64_t(0), Milliseconds(0));
-    if (!position)
-        return fail(position.error());
-    auto revision = position.value().revision;
-    for (unsigned seen = 0; seen < count;) {
+    auto initialBatch = client.watch(std::string(ConfigurationStore::changePrefix), ~std::uint64_t(0), Milliseconds(0));
+    if (!initialBatch)
+        return fail(initialBatch.error());
+    auto revision = initialBatch.value().revision;
+    for (unsigned printedChanges = 0; printedChanges < count;) {
         auto changes = store.changesAfter(version);
         if (!changes)
             return fail(changes.error());
         for (const auto& it : changes.value()) {
             std::cout << changeToJson(it).dump() << std::endl;
             version = it.version;
-            ++seen;
+            ++printedChanges;
         }
         auto batch = client.watch(std::string(ConfigurationStore::changePrefix), revision, Milliseconds(watchWaitMilliseconds));
         if (!batch)
@@ -233,7 +237,7 @@
 
 ExitCode showStatus(const std::vector<Address>& gateways, const std::string& key, const Address& objects)
 {
-    auto status = askGateways(gateways, key, "/v1/status");
+    auto status = queryGateways(gateways, key, "/v1/status");
     if (!status)
         return fail(status.error());
     if (!objects.empty()) {
@@ -270,7 +274,7 @@
         return fail(log.error());
     auto account = requestAccount(log.value(), requestId);
     if (account.empty())
-        return fail({ ErrorCode::NotFound, "no line names request " + requestId + " (" + std::to_string(log.value().lines.size()) + " lines read, " + std::to_string(log.value().skipped) + " not understood)" });
+        return fail({ ErrorCode::NotFound, "no log line mentions request " + requestId + " (" + std::to_string(log.value().lines.size()) + " lines read, " + std::to_string(log.value().skipped) + " could not be parsed)" });
     std::cout << account;
     return ExitCode::Success;
 }
@@ -293,7 +297,7 @@
 
 ExitCode explainRequest(const std::vector<Address>& gateways, const std::string& key, const std::string& requestId)
 {
-    auto explanation = askGateways(gateways, key, "/v1/explain/" + requestId);
+    auto explanation = queryGateways(gateways, key, "/v1/explain/" + requestId);
     if (!explanation)
         return fail(explanation.error());
     std::cout << explanation.value().dump(2) << std::endl;
@@ -308,7 +312,7 @@
         return fail(refreshed.error());
     auto answer = client.chat({ .service = service, .prompt = prompt, .maximumTokens = maximumTokens }, [](const std::string& text) { std::cout << text << std::flush; });
     std::cout << std::endl;
-    printAnswer(answer);
+    printOutcome(answer);
     return exitCodeOf(answer.outcome);
 }
 
@@ -320,7 +324,7 @@
         return fail(refreshed.error());
     auto answer = client.call(service, path, body, !once);
     std::cout << answer.text << std::endl;
-    printAnswer(answer);
+    printOutcome(answer);
     return exitCodeOf(answer.outcome);
 }
 
--- a/main/settings.cpp
+++ b/main/settings.cpp
@@ -11,7 +11,7 @@
 
     using Json = nlohmann::json;
 
-    // Members that both daemons have. An empty "properties" of the caller's is added behind it.
+    // Schema properties that both daemons have. buildSchema() appends the properties of one daemon.
     constexpr const char* commonProperties = R"json(
         "instance": { "type": "string", "pattern": "^[a-z0-9][-a-z0-9.]*$", "description": "The cloud's id of the instance that the process runs on." },
         "zone": { "type": "string", "minLength": 1, "description": "Availability zone of the instance." },
@@ -108,14 +108,17 @@
         "retireMs": { "type": "integer", "minimum": 0, "default": 30000, "description": "Time for streams at an endpoint that is no longer wanted." }
 )json";
 
-    std::string schemaOf(const std::string& title, const std::string& properties)
+    // Builds a complete settings schema from the common properties and those of one daemon.
+    std::string buildSchema(const std::string& title, const std::string& properties)
     {
         return R"({"$schema":"http://json-schema.org/draft-07/schema#","title":")" + title + R"(","type":"object","additionalProperties":false,"required":["instance","zone","platform"],"properties":{)" + commonProperties + properties + "}}";
     }
 
+    // Reads a member that is an integer number of milliseconds.
     Milliseconds milliseconds(const Json& document, const char* name) { return Milliseconds(document.at(name).get<std::int64_t>()); }
 
-    Result<NodeOptions> nodeOptionsFrom(const std::string& path, const Json& document, MemberRole role)
+    // Decodes the settings that both daemons have. Errors: InvalidArgument for an invalid address.
+    Result<NodeOptions> decodeNodeOptions(const std::string& path, const Json& document, MemberRole role)
     {
         const auto& listen = document.at("listen");
         const auto& advertise = document.at("advertise");
@@ -163,20 +166,20 @@
 
 const std::string& gatewaySettingsSchema()
 {
-    static const std::string schema = schemaOf("Settings of onyxnotch-gateway", gatewayProperties);
+    static const std::string schema = buildSchema("Settings of onyxnotch-gateway", gatewayProperties);
     return schema;
 }
 
 const std::string& controllerSettingsSchema()
 {
-    static const std::string schema = schemaOf("Settings of onyxnotch-controller", controllerProperties);
+    static const std::string schema = buildSchema("Settings of onyxnotch-controller", controllerProperties);
     return schema;
 }
 
 Result<GatewayOptions> readGatewaySettings(const std::string& path)
 {
     BOOST_OUTCOME_TRY(document, readSettingsFile(path, gatewaySettingsSchema()));
-    BOOST_OUTCOME_TRY(node, nodeOptionsFrom(path, document, MemberRole::Gateway));
+    BOOST_OUTCOME_TRY(node, decodeNodeOptions(path, document, MemberRole::Gateway));
     GatewayOptions options { .node = node };
     const auto& listen = document.at("listen");
     options.http = { .host = listen.at("host"), .port = listen.at("httpPort"), .threads = document.at("httpThreads"), .maximumBodyBytes = document.at("maximumBodyBytes") };
@@ -212,7 +215,7 @@
 Result<ControllerOptions> readControllerSettings(const std::string& path)
 {
     BOOST_OUTCOME_TRY(document, readSettingsFile(path, controllerSettingsSchema()));
-    BOOST_OUTCOME_TRY(node, nodeOptionsFrom(path, document, MemberRole::Controller));
+    BOOST_OUTCOME_TRY(node, decodeNodeOptions(path, document, MemberRole::Controller));
     ControllerOptions options { .node = node };
     const auto& listen = document.at("listen");
     static constexpr unsigned controllerThreads = 8;
--- a/main/settings.h
+++ b/main/settings.h
@@ -1,4 +1,5 @@
-// Settings files of the programs: JSON, checked against a schema that also holds every default.
+// Reads the settings files of onyxnotch-gateway and onyxnotch-controller: JSON that is validated against a schema, which also defines the
+// defaults.
 #pragma once
 
 #include "core/log.h"
@@ -7,15 +8,15 @@
 
 namespace Onyxnotch {
 
-// The schemas; docs/operators/settings.md is made from them.
+// The JSON Schemas of the settings files. docs/operators/settings.md is generated from them.
 const std::string& gatewaySettingsSchema();
 const std::string& controllerSettingsSchema();
 
-// Errors: InvalidArgument, naming the file and the key as a JSON pointer.
+// Read and validate a file. Errors: InvalidArgument, with the file and the JSON pointer of the invalid key.
 Result<GatewayOptions> readGatewaySettings(const std::string& path);
 Result<ControllerOptions> readControllerSettings(const std::string& path);
 
-// The log options that stand in the same file.
+// Reads the log level from the same settings file.
 Result<LogLevel> readLogLevel(const std::string& path);
 
 } // namespace Onyxnotch
--- a/main/settings_reference.cpp
+++ b/main/settings_reference.cpp
@@ -10,7 +10,8 @@
 
     using Json = nlohmann::json;
 
-    std::string typeOf(const Json& member)
+    // Describes the type and range of a schema member.
+    std::string describeType(const Json& member)
     {
         if (member.contains("enum")) {
             std::string text;
@@ -26,13 +27,14 @@
         return text;
     }
 
+    // Appends a table row for each property of the schema, nested ones included; `prefix` is the key path of the schema.
     void addRows(const Json& schema, const std::string& prefix, std::string& table)
     {
         for (const auto& [name, member] : schema["properties"].items()) {
             auto key = prefix + name;
-            auto standard = member.contains("properties") ? std::string() : member.contains("default") ? "`" + member["default"].dump() + "`"
-                                                                                                       : "required";
-            for (const auto& cell : { "`" + key + "`", typeOf(member), standard, member.value("description", "") })
+            auto defaultText = member.contains("properties") ? std::string() : member.contains("default") ? "`" + member["default"].dump() + "`"
+                                                                                                          : "required";
+            for (const auto& cell : { "`" + key + "`", describeType(member), defaultText, member.value("description", "") })
                 table += "| " + cell + " ";
             table += "|\n";
             if (member.contains("properties"))
@@ -40,7 +42,8 @@
         }
     }
 
-    std::string section(const std::string& program, const std::string& schema)
+    // Returns the heading and the table of one program.
+    std::string programSection(const std::string& program, const std::string& schema)
     {
         std::string text = "\n## " + program + "\n\n| key | type | default | meaning |\n|---|---|---|---|\n";
         addRows(Json::parse(schema), {}, text);
@@ -52,8 +55,8 @@
 std::string settingsReference()
 {
     return "# Settings\n\nMade by `onyxnotch settings-reference`; a test keeps it up to date. Settings are one JSON file a process; `--check-settings` checks it and names each wrong key.\n"
-        + section("onyxnotch-gateway", gatewaySettingsSchema()) + section("onyxnotch-controller", controllerSettingsSchema())
-        + section("onyxnotch-entry", entrySettingsSchema());
+        + programSection("onyxnotch-gateway", gatewaySettingsSchema()) + programSection("onyxnotch-controller", controllerSettingsSchema())
+        + programSection("onyxnotch-entry", entrySettingsSchema());
 }
 
 } // namespace Onyxnotch
--- a/main/settings_reference.h
+++ b/main/settings_reference.h
@@ -1,11 +1,11 @@
-// The settings reference of the operators' pages, made from the schemas.
+// Generates the settings reference for operators from the settings schemas.
 #pragma once
 
 #include <string>
 
 namespace Onyxnotch {
 
-// docs/operators/settings.md as it should be.
+// Returns the expected content of docs/operators/settings.md in Markdown.
 std::string settingsReference();
 
 } // namespace Onyxnotch
--- a/tests/main/test_operator_pages.cpp
+++ b/tests/main/test_operator_pages.cpp
@@ -1,4 +1,4 @@
-// The operators' pages list every log event and metric of the code.
+// Checks that the operators' documentation lists every log event and metric that the code emits.
 #include "core/file.h"
 #include <boost/test/unit_test.hpp>
 #include <filesystem>
@@ -8,12 +8,14 @@
 
 namespace {
 
-std::string page(const std::string& name)
+// Returns a page of the operators' documentation.
+std::string readPage(const std::string& name)
 {
     auto text = readFile(std::string(ONYXNOTCH_SOURCE_FOLDER) + "/docs/operators/" + name);
     return text ? text.value() : std::string();
 }
 
+// Searches all sources for `pattern`, whose first group is a name, and checks that `text` lists each name in a table row.
 void checkListed(const std::regex& pattern, const std::string& text, const std::string& name)
 {
     unsigned found = 0;
@@ -37,12 +39,12 @@
 
 BOOST_AUTO_TEST_CASE(every_log_event_is_listed)
 {
-    checkListed(std::regex("logEvent\\((?:LogLevel::|result)[^\"]*\"([a-z_]+)\""), page("log_events.md"), "log_events.md");
+    checkListed(std::regex("logEvent\\((?:LogLevel::|result)[^\"]*\"([a-z_]+)\""), readPage("log_events.md"), "log_events.md");
 }
 
 BOOST_AUTO_TEST_CASE(every_metric_is_listed)
 {
-    checkListed(std::regex("\"(onyxnotch_[a-z_]+)\""), page("metrics.md"), "metrics.md");
+    checkListed(std::regex("\"(onyxnotch_[a-z_]+)\""), readPage("metrics.md"), "metrics.md");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/main/test_settings_reference.cpp
+++ b/tests/main/test_settings_reference.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsReference)
 
-BOOST_AUTO_TEST_CASE(the_operators_page_is_what_the_schemas_say)
+BOOST_AUTO_TEST_CASE(the_settings_page_matches_the_schemas)
 {
     auto page = readFile(std::string(ONYXNOTCH_SOURCE_FOLDER) + "/docs/operators/settings.md");
     BOOST_REQUIRE(page);
--- a/tests/platform/test_settings_template.cpp
+++ b/tests/platform/test_settings_template.cpp
@@ -15,7 +15,7 @@
 using Json = nlohmann::json;
 
 // Implements the part of the platform's template language that the file uses: {{value}}, {{#section}}, {{^inverted section}} and
-// {{,}}, which writes a comma after every list entry except the last.
+// {{,}}, which writes a comma after each list entry that is not the final one.
 class TemplateFiller {
 public:
     explicit TemplateFiller(Json fields)
@@ -31,8 +31,8 @@
         const Json* at = &m_fields;
         std::istringstream names(path);
         for (std::string name; std::getline(names, name, '.');) {
-            bool number = !name.empty() && name.find_first_not_of("0123456789") == std::string::npos;
-            if (at->is_array() && number && std::stoul(name) < at->size())
+            bool isNumber = !name.empty() && name.find_first_not_of("0123456789") == std::string::npos;
+            if (at->is_array() && isNumber && std::stoul(name) < at->size())
                 at = &(*at)[std::stoul(name)];
             else if (at->is_object() && at->contains(name))
                 at = &(*at)[name];
@@ -44,7 +44,7 @@
 
     static std::string valueText(const Json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-    std::string fillText(const std::string& text, const Json* entry, bool last) const
+    std::string fillText(const std::string& text, const Json* entry, bool isLast) const
     {
         std::string filled;
         std::size_t at = 0;
@@ -56,8 +56,8 @@
             bool section = name[0] == '#' || name[0] == '^';
             if (!section) {
                 const auto* value = name == "." ? entry : find(name);
-                filled += name == "," ? (last ? "" : ",") : value ? valueText(*value)
-                                                                  : "";
+                filled += name == "," ? (isLast ? "" : ",") : value ? valueText(*value)
+                                                                    : "";
                 continue;
             }
             auto end = "{{/" + name.substr(1) + "}}";
