--- a/modules/declaration/configuration.cpp
+++ b/modules/declaration/configuration.cpp
@@ -11,7 +11,8 @@
 
     using Json = nlohmann::json;
 
-    std::set<ObjectName> touchedBy(const ConfigurationChange& change)
+    // The names of all objects that the change inserts, replaces or removes.
+    std::set<ObjectName> changedObjects(const ConfigurationChange& change)
     {
         std::set<ObjectName> names(change.removals.begin(), change.removals.end());
         for (const auto& it : change.upserts)
@@ -19,7 +20,7 @@
         return names;
     }
 
-    // Checks each object of a declaration against the configuration as it would be.
+    // Checks the objects of a declaration, and the services of the configuration that would result from it.
     class RuleChecker {
     public:
         RuleChecker(const Configuration& result, const Declaration& declaration)
@@ -42,21 +43,23 @@
         }
 
     private:
-        void report(const std::string& where, const std::string& reason)
+        void addProblem(const std::string& where, const std::string& reason)
         {
             m_problems.push_back({ .pointer = m_pointer + where, .reason = reason });
         }
 
+        // Reports objects that the declaration contains more than once.
         void checkDuplicates()
         {
             std::set<ObjectName> seen;
             for (std::size_t n = 0; n < m_declaration.objects.size(); ++n) {
                 m_pointer = "/objects/" + std::to_string(n);
                 if (!seen.insert(m_declaration.objects[n].name).second)
-                    report("/name", m_declaration.objects[n].name.text() + " is declared twice");
+                    addProblem("/name", m_declaration.objects[n].name.text() + " is declared twice");
             }
         }
 
+        // Reports key digests that several teams of the resulting configuration share.
         void checkKeys()
         {
             std::map<std::string, std::string> owners;
@@ -65,36 +68,37 @@
                 for (const auto& digest : team.keyDigests) {
                     auto [it, added] = owners.emplace(digest, object.name.name);
                     if (!added && it->second != object.name.name)
-                        report("/objects", "teams " + it->second + " and " + object.name.name + " have the same key digest");
+                        addProblem("/objects", "teams " + it->second + " and " + object.name.name + " have the same key digest");
                 }
             });
         }
 
-        // Every service of the result, since removing a model version can break one that the file does not name.
+        // Checks all services of the resulting configuration, because removing a model version or adapter can break a service that the file
+        // does not contain.
         void checkServices()
         {
             m_result.forEach<ServiceSpec>([&](const DeclaredObject& object, const ServiceSpec& service) {
                 if (service.type == ServiceType::Model && !m_result.modelVersionFor(service))
-                    report("/objects", "service " + object.name.name + " selects no model version");
+                    addProblem("/objects", "service " + object.name.name + " selects no model version");
                 if (!service.adapter.empty() && !m_result.find({ .kind = ObjectKind::Adapter, .name = service.adapter }))
-                    report("/objects", "service " + object.name.name + " names the unknown adapter " + service.adapter);
+                    addProblem("/objects", "service " + object.name.name + " names the unknown adapter " + service.adapter);
             });
         }
 
         void check(const ServiceSpec& service)
         {
             if (service.type == ServiceType::Model && !service.repeatable)
-                report("/spec/repeatable", "a model service is always repeatable");
+                addProblem("/spec/repeatable", "a model service is always repeatable");
             if (service.type == ServiceType::Plain && service.endpoints.empty())
-                report("/spec/endpoints", "a plain service needs at least one endpoint");
+                addProblem("/spec/endpoints", "a plain service needs at least one endpoint");
             if (service.type == ServiceType::Model && !service.endpoints.empty())
-                report("/spec/endpoints", "the endpoints of a model service follow from placement rules");
+                addProblem("/spec/endpoints", "the endpoints of a model service follow from placement rules");
         }
 
         void check(const PlacementRuleSpec& rule)
         {
             if (rule.minimumZones > rule.replicas)
-                report("/spec/minimumZones", "more zones than replicas");
+                addProblem("/spec/minimumZones", "more zones than replicas");
         }
 
         void check(const AdapterSpec&) { }
@@ -112,9 +116,9 @@
 
 bool ConfigurationChange::overlaps(const ConfigurationChange& other) const
 {
-    auto mine = touchedBy(*this);
-    auto theirs = touchedBy(other);
-    return std::any_of(mine.begin(), mine.end(), [&](const ObjectName& it) { return theirs.contains(it); });
+    auto ownObjects = changedObjects(*this);
+    auto otherObjects = changedObjects(other);
+    return std::any_of(ownObjects.begin(), ownObjects.end(), [&](const ObjectName& it) { return otherObjects.contains(it); });
 }
 
 Result<ConfigurationChange> changeFromJson(const Json& document)
@@ -165,7 +169,7 @@
         objects.erase(it);
     for (const auto& it : change.upserts) {
         auto object = it;
-        object.changedAt = change.version;
+        object.lastChangedVersion = change.version;
         objects.insert_or_assign(object.name, std::move(object));
     }
     return Configuration(change.version, std::move(objects));
--- a/modules/declaration/configuration_store.cpp
+++ b/modules/declaration/configuration_store.cpp
@@ -12,8 +12,9 @@
 
     constexpr unsigned maximumAttempts = 16;
     constexpr unsigned readBackAttempts = 5;
-    constexpr Milliseconds firstPause { 50 };
+    constexpr Milliseconds firstRetryDelay { 50 }; // Before the next attempt; doubled for each further attempt to read a change back.
 
+    // Decodes a stored change object.
     Result<ConfigurationChange> readChange(const StoredObject& object)
     {
         BOOST_OUTCOME_TRY(document, decodeJson<Json>(object.value, ErrorCode::InvalidArgument, object.key, [](Json parsed) { return parsed; }));
@@ -62,9 +63,9 @@
     return configuration;
 }
 
-Result<bool> ConfigurationStore::isOurs(std::uint64_t version, const std::string& operationId) const
+Result<bool> ConfigurationStore::isOwnChange(std::uint64_t version, const std::string& operationId) const
 {
-    auto pause = firstPause;
+    auto retryDelay = firstRetryDelay;
     for (unsigned n = 0; n < readBackAttempts; ++n) {
         auto object = m_objects.get(changeKey(version));
         if (object && !object.value())
@@ -73,40 +74,41 @@
             BOOST_OUTCOME_TRY(change, readChange(*object.value()));
             return change.operationId == operationId;
         }
-        std::this_thread::sleep_for(pause);
-        pause *= 2;
+        std::this_thread::sleep_for(retryDelay);
+        retryDelay *= 2;
     }
-    return Error { ErrorCode::Ambiguous, "the object service lost the answer and could not be asked again" };
+    return Error { ErrorCode::Ambiguous, "no answer from the object API to the write, and reading the change back failed" };
 }
 
 Result<CommitResult> ConfigurationStore::commit(const std::string& operationId, std::uint64_t base, const ChangeBuilder& build) const
 {
     BOOST_OUTCOME_TRY(loaded, load());
     auto configuration = loaded;
-    auto basis = base == 0 ? configuration.version() : base;
+    auto baseVersion = base == 0 ? configuration.version() : base;
     for (unsigned attempt = 1; attempt <= maximumAttempts; ++attempt) {
         BOOST_OUTCOME_TRY(change, build(configuration));
         change.version = configuration.version() + 1;
         change.operationId = operationId;
         for (const auto& it : change.upserts) {
-            const auto* known = configuration.find(it.name);
-            if (known && known->changedAt > basis)
-                return Error { ErrorCode::Conflict, it.name.text() + " was changed by another operator in version " + std::to_string(known->changedAt) };
+            const auto* existing = configuration.find(it.name);
+            if (existing && existing->lastChangedVersion > baseVersion)
+                return Error { ErrorCode::Conflict, it.name.text() + " was changed by another operator in version " + std::to_string(existing->lastChangedVersion) };
         }
         auto created = m_objects.create(changeKey(change.version), changeToJson(change).dump());
         if (created)
             return CommitResult { .version = change.version, .attempts = attempt };
         if (created.error().code == ErrorCode::Ambiguous || created.error().code == ErrorCode::Conflict) {
-            // A lost answer, or our own first copy that a retry below us met: read back who made this version.
-            BOOST_OUTCOME_TRY(ours, isOurs(change.version, operationId));
-            if (ours)
+            // Either the answer was lost, or a retry below this layer found the object that the first attempt had created: read the change
+            // object back to find out who created this version.
+            BOOST_OUTCOME_TRY(isOwn, isOwnChange(change.version, operationId));
+            if (isOwn)
                 return CommitResult { .version = change.version, .attempts = attempt };
         } else if (created.error().code != ErrorCode::Exhausted) {
             return created.error();
         }
-        std::this_thread::sleep_for(firstPause);
-        BOOST_OUTCOME_TRY(later, changesAfter(configuration.version()));
-        for (const auto& it : later) {
+        std::this_thread::sleep_for(firstRetryDelay);
+        BOOST_OUTCOME_TRY(laterChanges, changesAfter(configuration.version()));
+        for (const auto& it : laterChanges) {
             if (it.operationId == operationId)
                 return CommitResult { .version = it.version, .attempts = attempt };
             if (it.overlaps(change))
@@ -114,12 +116,12 @@
             BOOST_OUTCOME_TRY(next, configuration.with(it));
             configuration = next;
         }
-        basis = configuration.version();
+        baseVersion = configuration.version();
     }
-    return Error { ErrorCode::Conflict, "other operators were always first" };
+    return Error { ErrorCode::Conflict, "other operators committed first in every attempt" };
 }
 
-Status ConfigurationStore::compact(const Configuration& configuration, std::uint64_t kept) const
+Status ConfigurationStore::compact(const Configuration& configuration, std::uint64_t retainedVersions) const
 {
     BOOST_OUTCOME_TRY(snapshot, m_objects.get(std::string(snapshotKey)));
     auto text = configurationToJson(configuration).dump();
@@ -132,9 +134,9 @@
         BOOST_OUTCOME_TRYV(m_objects.update(std::string(snapshotKey), text, snapshot->version));
     }
     BOOST_OUTCOME_TRY(batch, m_objects.list(std::string(changePrefix)));
-    auto limit = changeKey(configuration.version() > kept ? configuration.version() - kept : 0);
+    auto firstRetainedKey = changeKey(configuration.version() > retainedVersions ? configuration.version() - retainedVersions : 0);
     for (const auto& it : batch.objects) {
-        if (it.key >= limit)
+        if (it.key >= firstRetainedKey)
             break;
         BOOST_OUTCOME_TRYV(m_objects.remove(it.key, it.version));
     }
--- a/modules/declaration/declaration_schema.cpp
+++ b/modules/declaration/declaration_schema.cpp
@@ -2,7 +2,7 @@
 
 namespace Onyxnotch {
 
-// Each kind has its own branch under "allOf", so that an error names the member of the spec and not the whole object.
+// Each kind has its own branch under "allOf", so that a validation error points to the member of the spec and not to the entire object.
 const std::string& declarationSchema()
 {
     static const std::string schema = R"json({
--- a/modules/declaration/declared_object.cpp
+++ b/modules/declaration/declared_object.cpp
@@ -9,12 +9,12 @@
 
     using Json = nlohmann::json;
 
-    struct KindName {
+    struct KindNameEntry {
         ObjectKind kind;
         std::string_view name;
     };
 
-    constexpr std::array<KindName, 6> kindNames { {
+    constexpr std::array<KindNameEntry, 6> kindNames { {
         { ObjectKind::Adapter, "Adapter" },
         { ObjectKind::Drain, "Drain" },
         { ObjectKind::ModelVersion, "ModelVersion" },
@@ -23,12 +23,12 @@
         { ObjectKind::Team, "Team" },
     } };
 
-    struct OperatorName {
+    struct OperatorNameEntry {
         SelectorOperator operation;
         std::string_view name;
     };
 
-    constexpr std::array<OperatorName, 4> operatorNames { {
+    constexpr std::array<OperatorNameEntry, 4> operatorNames { {
         { SelectorOperator::In, "In" },
         { SelectorOperator::NotIn, "NotIn" },
         { SelectorOperator::Exists, "Exists" },
@@ -67,7 +67,7 @@
         return target;
     }
 
-    PlainEndpoint endpointFromJson(const Json& source)
+    PlainEndpoint plainEndpointFromJson(const Json& source)
     {
         auto address = parseAddress(source.at("address").get<std::string>());
         if (!address)
@@ -86,18 +86,18 @@
             .objective = {},
         };
         for (const auto& it : spec.value("endpoints", Json::array()))
-            service.endpoints.push_back(endpointFromJson(it));
+            service.endpoints.push_back(plainEndpointFromJson(it));
         auto objective = spec.value("objective", Json::object());
         service.objective.firstToken = Milliseconds(objective.value("firstTokenMs", service.objective.firstToken.count()));
         service.objective.betweenTokens = Milliseconds(objective.value("betweenTokensMs", service.objective.betweenTokens.count()));
-        service.objective.part = objective.value("part", service.objective.part);
+        service.objective.requiredShare = objective.value("part", service.objective.requiredShare);
         return service;
     }
 
     Json serviceToJson(const ServiceSpec& service)
     {
         Json spec { { "type", service.type == ServiceType::Plain ? "plain" : "model" }, { "repeatable", service.repeatable } };
-        spec["objective"] = { { "firstTokenMs", service.objective.firstToken.count() }, { "betweenTokensMs", service.objective.betweenTokens.count() }, { "part", service.objective.part } };
+        spec["objective"] = { { "firstTokenMs", service.objective.firstToken.count() }, { "betweenTokensMs", service.objective.betweenTokens.count() }, { "part", service.objective.requiredShare } };
         if (service.type == ServiceType::Model)
             spec["models"] = selectorToJson(service.models);
         if (!service.adapter.empty())
@@ -137,7 +137,7 @@
         throw std::invalid_argument("unknown kind");
     }
 
-    // Writes the JSON form of each kind of spec.
+    // Visitor that encodes each kind of spec as JSON.
     struct SpecWriter {
         Json operator()(const AdapterSpec& it) const { return { { "model", it.model }, { "weights", it.weights } }; }
         Json operator()(const DrainSpec& it) const { return { { "instance", it.instance } }; }
@@ -177,7 +177,7 @@
             .name = { .kind = kind, .name = document.at("name") },
             .labels = document.value("labels", Labels()),
             .spec = specFromJson(kind, document.at("spec")),
-            .changedAt = document.value("changedAt", std::uint64_t(0)),
+            .lastChangedVersion = document.value("changedAt", std::uint64_t(0)),
         };
     } catch (const std::exception& exception) {
         return Error { ErrorCode::InvalidArgument, exception.what() };
@@ -189,8 +189,8 @@
     Json document { { "kind", toString(object.name.kind) }, { "name", object.name.name }, { "spec", std::visit(SpecWriter {}, object.spec) } };
     if (!object.labels.empty())
         document["labels"] = object.labels;
-    if (object.changedAt != 0)
-        document["changedAt"] = object.changedAt;
+    if (object.lastChangedVersion != 0)
+        document["changedAt"] = object.lastChangedVersion;
     return document;
 }
 
--- a/modules/declaration/declared_object.h
+++ b/modules/declaration/declared_object.h
@@ -1,4 +1,4 @@
-// The objects that operators declare. Immutable values, read from JSON that the schema has already passed.
+// The objects that operators declare, as value types, with their JSON encoding. The JSON is expected to have passed the schema.
 #pragma once
 
 #include "core/clock.h"
@@ -24,7 +24,7 @@
 std::string toString(ObjectKind);
 Result<ObjectKind> parseObjectKind(const std::string&);
 
-// Names one object.
+// Identifies an object by kind and name.
 struct ObjectName {
     ObjectKind kind { ObjectKind::Service };
     std::string name {};
@@ -42,24 +42,24 @@
     bool operator==(const ModelVersionSpec&) const = default;
 };
 
-// A fine-tuned addition to a model.
+// A fine-tuned adapter of a model.
 struct AdapterSpec {
     std::string model {};
-    std::string weights {};
+    std::string weights {}; // Key in the weight store.
 
     bool operator==(const AdapterSpec&) const = default;
 };
 
-// What a service promises its callers; the burn report measures against it.
+// Service level objective for the latency of answers. The error-budget burn report measures against it.
 struct Objective {
-    Milliseconds firstToken { 720 };
-    Milliseconds betweenTokens { 79 };
-    double part { 0.95 }; // The part of answers that must hold to both.
+    Milliseconds firstToken { 720 }; // Longest time from the request to the first token.
+    Milliseconds betweenTokens { 79 }; // Longest time between two tokens.
+    double requiredShare { 0.95 }; // Share of answers that must meet both limits.
 
     bool operator==(const Objective&) const = default;
 };
 
-// A fixed endpoint of a plain service.
+// A statically declared endpoint of a plain (non-model) service.
 struct PlainEndpoint {
     std::string id {};
     Address address {};
@@ -68,44 +68,47 @@
     bool operator==(const PlainEndpoint&) const = default;
 };
 
+// What serves a service's requests.
 enum class ServiceType {
-    Model,
-    Plain,
+    Model, // Model engines, which are placed by placement rules.
+    Plain, // Fixed endpoints that the service lists.
 };
 
+// A service that teams can call.
 struct ServiceSpec {
     ServiceType type { ServiceType::Model };
-    Selector models {}; // Over labels of model versions; of those selected the highest version is served.
-    std::string adapter {}; // Empty for none.
-    std::vector<PlainEndpoint> endpoints {}; // Of a plain service.
-    bool repeatable { true }; // False: each call runs at most once and needs a ticket.
+    Selector models {}; // Selects model versions by label. The highest selected version is served.
+    std::string adapter {}; // Name of an Adapter object; empty if none is used.
+    std::vector<PlainEndpoint> endpoints {}; // Used by plain services only.
+    bool repeatable { true }; // If false, each call is executed at most once and requires a ticket.
     Objective objective {};
 
     bool operator==(const ServiceSpec&) const = default;
 };
 
+// A customer: its keys, the services that it may call, its rate limit and its priority.
 struct TeamSpec {
     std::vector<std::string> keyDigests {}; // SHA-256 of the bearer keys, lower-case hexadecimal.
-    Selector services {}; // Which services the team may call.
-    double requestsPerSecond { 0 }; // Over all nodes; 0 for no limit.
-    int priority { 0 }; // Higher goes first.
+    Selector services {}; // Services that the team may call.
+    double requestsPerSecond { 0 }; // Rate limit over all nodes together; 0 means no limit.
+    int priority { 0 }; // Requests with a higher value are served first.
 
     bool operator==(const TeamSpec&) const = default;
 };
 
-// How many endpoints serve the selected services, and on which offers of the cloud.
-// Offers carry the labels "zone", "class" and "market".
+// Defines how many endpoints serve the selected services, and on which cloud offers (instance types) they may run.
+// Offers have the labels "zone", "class" and "market".
 struct PlacementRuleSpec {
     Selector services {};
     Selector offers {};
-    unsigned replicas { 1 };
-    unsigned minimumZones { 1 };
-    bool checksFences { true }; // Whether the engines of these offers refuse orders with an old fence.
+    unsigned replicas { 1 }; // Number of endpoints.
+    unsigned minimumZones { 1 }; // Number of availability zones over which the endpoints must at least be spread.
+    bool checksFences { true }; // Whether the engines on these offers refuse orders with an outdated fencing token.
 
     bool operator==(const PlacementRuleSpec&) const = default;
 };
 
-// Takes an instance out of service on the operator's word.
+// Takes an instance out of service as long as the object exists.
 struct DrainSpec {
     std::string instance {};
 
@@ -114,16 +117,17 @@
 
 using ObjectSpec = std::variant<AdapterSpec, DrainSpec, ModelVersionSpec, PlacementRuleSpec, ServiceSpec, TeamSpec>;
 
+// A declared object of any kind.
 struct DeclaredObject {
     ObjectName name {};
     Labels labels {};
     ObjectSpec spec {};
-    std::uint64_t changedAt { 0 }; // The configuration version that last changed it.
+    std::uint64_t lastChangedVersion { 0 }; // Configuration version that last changed the object.
 
     bool operator==(const DeclaredObject&) const = default;
 };
 
-// Errors: InvalidArgument.
+// Errors: InvalidArgument if the kind is unknown or a member is missing or has the wrong type.
 Result<DeclaredObject> objectFromJson(const nlohmann::json&);
 nlohmann::json objectToJson(const DeclaredObject&);
 
--- a/modules/declaration/selector.cpp
+++ b/modules/declaration/selector.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-    bool holds(const SelectorExpression& expression, const Labels& labels)
+    // Whether labels meet the condition.
+    bool matchesExpression(const SelectorExpression& expression, const Labels& labels)
     {
         auto it = labels.find(expression.key);
         bool exists = it != labels.end();
-        bool listed = exists && std::find(expression.values.begin(), expression.values.end(), it->second) != expression.values.end();
+        bool isListed = exists && std::find(expression.values.begin(), expression.values.end(), it->second) != expression.values.end();
         switch (expression.operation) {
         case SelectorOperator::In:
-            return listed;
+            return isListed;
         case SelectorOperator::NotIn:
-            return !listed;
+            return !isListed;
         case SelectorOperator::Exists:
             return exists;
         case SelectorOperator::DoesNotExist:
@@ -28,12 +29,12 @@
 
 bool Selector::matches(const Labels& labels) const
 {
-    auto hasLabel = [&](const auto& wanted) {
-        auto it = labels.find(wanted.first);
-        return it != labels.end() && it->second == wanted.second;
+    auto hasLabel = [&](const auto& required) {
+        auto it = labels.find(required.first);
+        return it != labels.end() && it->second == required.second;
     };
     return std::all_of(matchLabels.begin(), matchLabels.end(), hasLabel)
-        && std::all_of(matchExpressions.begin(), matchExpressions.end(), [&](const auto& it) { return holds(it, labels); });
+        && std::all_of(matchExpressions.begin(), matchExpressions.end(), [&](const auto& it) { return matchesExpression(it, labels); });
 }
 
 } // namespace Onyxnotch
--- a/modules/declaration/selector.h
+++ b/modules/declaration/selector.h
@@ -1,4 +1,4 @@
-// Labels, and selectors over them, with the operators that operators of clusters know.
+// Labels and label selectors, with the semantics of Kubernetes label selectors.
 #pragma once
 
 #include <map>
@@ -9,13 +9,15 @@
 
 using Labels = std::map<std::string, std::string>;
 
+// How a selector expression compares a label with its values.
 enum class SelectorOperator {
-    In,
-    NotIn,
-    Exists,
+    In, // The label exists and its value is listed.
+    NotIn, // The label does not exist, or its value is not listed.
+    Exists, // The label exists, with any value.
     DoesNotExist,
 };
 
+// A condition on the label `key`. `values` is used by In and NotIn only.
 struct SelectorExpression {
     std::string key {};
     SelectorOperator operation { SelectorOperator::In };
@@ -24,7 +26,7 @@
     bool operator==(const SelectorExpression&) const = default;
 };
 
-// All of its parts must hold. An empty selector selects everything.
+// Selects objects by their labels. All conditions must be met; an empty selector matches everything.
 struct Selector {
     Labels matchLabels {};
     std::vector<SelectorExpression> matchExpressions {};
@@ -32,7 +34,7 @@
     bool operator==(const Selector&) const = default;
 
     bool matches(const Labels&) const;
-    // How many conditions it states; of two rules for the same thing the more specific one goes first.
+    // Number of conditions. If several rules match one object, the rule with the highest specificity takes precedence.
     std::size_t specificity() const { return matchLabels.size() + matchExpressions.size(); }
 };
 
--- a/tests/modules/declaration/test_configuration.cpp
+++ b/tests/modules/declaration/test_configuration.cpp
@@ -11,7 +11,7 @@
 
 Json objectOf(const std::string& kind, const std::string& name, const Json& spec) { return { { "kind", kind }, { "name", name }, { "spec", spec } }; }
 
-std::vector<DeclarationProblem> problemsOf(const Json& objects)
+std::vector<DeclarationProblem> checkObjects(const Json& objects)
 {
     std::vector<DeclarationProblem> problems;
     auto declaration = readDeclaration({ { "objects", objects } }, problems);
@@ -21,7 +21,7 @@
     return checkRules(result.value(), declaration);
 }
 
-ConfigurationChange changeOf(std::uint64_t version, const std::string& instance)
+ConfigurationChange drainChange(std::uint64_t version, const std::string& instance)
 {
     DeclaredObject object { .name = { .kind = ObjectKind::Drain, .name = instance }, .spec = DrainSpec { .instance = instance } };
     return { .version = version, .operationId = "op" + std::to_string(version), .upserts = { object } };
@@ -31,26 +31,26 @@
 
 BOOST_AUTO_TEST_SUITE(Configurations)
 
-BOOST_AUTO_TEST_CASE(bad_declarations_name_the_place)
+BOOST_AUTO_TEST_CASE(problems_of_invalid_declarations_point_to_the_member)
 {
-    auto first = [](const Json& objects) {
-        auto problems = problemsOf(objects);
+    auto firstPointer = [](const Json& objects) {
+        auto problems = checkObjects(objects);
         return problems.empty() ? std::string("none") : problems.front().pointer;
     };
-    BOOST_CHECK_EQUAL(first(Json::array({ objectOf("Team", "t", { { "keyDigests", { "short" } } }) })), "/objects/0/spec/keyDigests/0");
-    BOOST_CHECK_EQUAL(first(Json::array({ objectOf("Drain", "UPPER", { { "instance", "i" } }) })), "/objects/0/name");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ objectOf("Team", "t", { { "keyDigests", { "short" } } }) })), "/objects/0/spec/keyDigests/0");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ objectOf("Drain", "UPPER", { { "instance", "i" } }) })), "/objects/0/name");
     auto plain = Json { { "type", "plain" }, { "repeatable", false } };
-    BOOST_CHECK_EQUAL(first(Json::array({ objectOf("Service", "s", plain) })), "/objects/0/spec/endpoints");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ objectOf("Service", "s", plain) })), "/objects/0/spec/endpoints");
     auto model = Json { { "type", "model" }, { "repeatable", false } };
-    BOOST_CHECK_EQUAL(first(Json::array({ objectOf("Service", "s", model) })), "/objects/0/spec/repeatable");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ objectOf("Service", "s", model) })), "/objects/0/spec/repeatable");
     auto rule = Json { { "services", Json::object() }, { "offers", Json::object() }, { "replicas", 1 }, { "minimumZones", 2 } };
-    BOOST_CHECK_EQUAL(first(Json::array({ objectOf("PlacementRule", "r", rule) })), "/objects/0/spec/minimumZones");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ objectOf("PlacementRule", "r", rule) })), "/objects/0/spec/minimumZones");
     auto drain = objectOf("Drain", "d", { { "instance", "i" } });
-    BOOST_CHECK_EQUAL(first(Json::array({ drain, drain })), "/objects/1/name");
-    BOOST_CHECK_EQUAL(first(Json::array({ drain })), "none");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ drain, drain })), "/objects/1/name");
+    BOOST_CHECK_EQUAL(firstPointer(Json::array({ drain })), "none");
 }
 
-BOOST_AUTO_TEST_CASE(selectors_hold_as_operators_know_them)
+BOOST_AUTO_TEST_CASE(selectors_match_like_kubernetes_selectors)
 {
     Selector selector { .matchLabels = { { "zone", "a" } }, .matchExpressions = { { .key = "class", .operation = SelectorOperator::NotIn, .values = { "x" } }, { .key = "team", .operation = SelectorOperator::Exists } } };
     BOOST_CHECK(selector.matches({ { "zone", "a" }, { "team", "" } }));
@@ -60,7 +60,7 @@
     BOOST_CHECK(Selector().matches({}));
 }
 
-BOOST_AUTO_TEST_CASE(objects_come_back_from_json)
+BOOST_AUTO_TEST_CASE(objects_survive_a_json_round_trip)
 {
     auto service = objectOf("Service", "s", { { "type", "plain" }, { "repeatable", true }, { "endpoints", Json::array({ { { "id", "e" }, { "address", "127.0.0.1:80" } } }) }, { "objective", { { "firstTokenMs", 5 } } } });
     auto object = objectFromJson(service);
@@ -69,16 +69,16 @@
     BOOST_CHECK(!objectFromJson({ { "kind", "Nothing" }, { "name", "n" }, { "spec", Json::object() } }));
 }
 
-// Changes and whole documents arrive late, repeated and in any order; the version of a node's view only rises and its content is
-// that of its version.
-BOOST_AUTO_TEST_CASE(a_view_never_goes_back)
+// Property: changes and complete documents may arrive late, repeated and in any order. A replica's version never decreases, and its content
+// is always that of its version.
+BOOST_AUTO_TEST_CASE(a_replica_never_goes_back_to_an_older_version)
 {
     Tests::checkProperty("random events", [](const std::vector<std::pair<unsigned char, unsigned char>>& events) {
         static constexpr unsigned count = 12;
         std::vector<Configuration> history { {} };
         std::vector<ConfigurationChange> changes;
         for (unsigned n = 1; n <= count; ++n) {
-            changes.push_back(changeOf(n, "i" + std::to_string(n % 5)));
+            changes.push_back(drainChange(n, "i" + std::to_string(n % 5)));
             history.push_back(history.back().with(changes.back()).value());
         }
         StateReplica replica;
@@ -107,7 +107,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(zone_documents_only_move_forward)
+BOOST_AUTO_TEST_CASE(zone_documents_are_only_replaced_by_newer_versions)
 {
     StateReplica replica;
     BOOST_CHECK(replica.applyZone({ .zone = "z", .version = 5 }));
