--- a/modules/gateway/gateway.cpp
+++ b/modules/gateway/gateway.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-    constexpr Milliseconds signalPoll { 50 };
-    constexpr Milliseconds noticeWait { 2000 };
+    constexpr Milliseconds signalPollInterval { 50 };
+    constexpr Milliseconds noticeLongPollWait { 2000 };
     constexpr Milliseconds noticeBackoff { 500 };
-    constexpr Milliseconds answerPoll { 20 };
-    // Kept of the time on notice for the last bytes to callers.
-    constexpr Milliseconds lastBytesTime { 200 };
-    constexpr Milliseconds stopHandoverTime { 5000 };
-    constexpr Milliseconds stopAnswerTime { 5000 };
+    constexpr Milliseconds responsePollInterval { 20 };
+    // Part of the reclaim notice period that is reserved for writing the last bytes to clients.
+    constexpr Milliseconds finalWriteReserve { 200 };
+    constexpr Milliseconds drainHandoverTimeout { 5000 };
+    constexpr Milliseconds drainResponseTimeout { 5000 };
 
     RequestServerOptions requestOptionsOf(const GatewayOptions& options, const Member& identity)
     {
@@ -30,7 +30,7 @@
 
     EndpointDirectoryOptions directoryOptionsOf(const GatewayOptions& options, const Member& identity)
     {
-        // The name has passed the settings' schema.
+        // value() can't fail: the settings schema admits only valid policy names.
         return { .node = identity.node, .subsetSize = options.endpointSubset, .routing = options.routing, .policy = routePolicyNamed(options.routingPolicy).value() };
     }
 
@@ -66,20 +66,20 @@
             return;
         auto now = wallMilliseconds();
         auto deadline = it->second.deadlineWallMilliseconds;
-        noticeReclaim(deadline == 0 ? stopHandoverTime : Milliseconds(deadline > now ? deadline - now : 0));
+        setReclaimDeadline(deadline == 0 ? drainHandoverTimeout : Milliseconds(deadline > now ? deadline - now : 0));
     });
     logEvent(LogLevel::Info, "http_bound", { { "http", m_http.address().text() } });
     auto port = m_options.advertisedHttpPort != 0 ? m_options.advertisedHttpPort : m_http.address().port;
     BOOST_OUTCOME_TRYV(m_node.start(port, [this](const Frame& frame) { return m_requests.handlePeerFrame(frame); }));
     m_requests.start();
     m_loadTimer = m_node.timers().every(m_options.loadPeriod, [this] { pollLoads(); });
-    m_noticeThread = std::thread([this] { watchOwnNotice(); });
+    m_noticeThread = std::thread([this] { watchReclaimNotices(); });
     return success();
 }
 
 void Gateway::pollLoads()
 {
-    // Held here: another thread may put a new one in its place while this one waits for an engine.
+    // Keeps a reference to this subset: another thread may replace it while this thread waits for an engine.
     auto endpoints = m_directory.subset();
     for (const auto& it : *endpoints) {
         if (m_stopping || m_directory.isLeaving(it.id))
@@ -93,28 +93,28 @@
     }
 }
 
-void Gateway::watchOwnNotice()
+void Gateway::watchReclaimNotices()
 {
-    std::uint64_t last = 0;
+    std::uint64_t lastSequence = 0;
     while (!m_stopping) {
-        auto notices = m_node.cloud().notices(last, noticeWait);
+        auto notices = m_node.cloud().notices(lastSequence, noticeLongPollWait);
         if (!notices) {
             std::this_thread::sleep_for(noticeBackoff);
             continue;
         }
         for (const auto& it : notices.value()) {
-            last = std::max(last, it.sequence);
+            lastSequence = std::max(lastSequence, it.sequence);
             if (it.instance == m_options.node.instance)
-                noticeReclaim(it.timeLeft);
+                setReclaimDeadline(it.timeLeft);
         }
     }
 }
 
-void Gateway::noticeReclaim(Milliseconds timeLeft)
+void Gateway::setReclaimDeadline(Milliseconds timeLeft)
 {
     std::lock_guard lock(m_mutex);
     auto deadline = steadyNow() + timeLeft;
-    // The same notice may come several times and by several ways; the earliest deadline counts.
+    // A notice can arrive repeatedly, from the cloud and from other nodes; the earliest deadline applies.
     if (!m_reclaimDeadline || deadline < *m_reclaimDeadline)
         m_reclaimDeadline = deadline;
 }
@@ -122,7 +122,7 @@
 void Gateway::runUntilStopped(StopSignal& signal)
 {
     while (true) {
-        if (signal.waitFor(signalPoll)) {
+        if (signal.waitFor(signalPollInterval)) {
             drain(signal);
             return;
         }
@@ -132,42 +132,42 @@
             deadline = m_reclaimDeadline;
         }
         if (deadline) {
-            leaveBefore(*deadline);
+            shutDownBefore(*deadline);
             return;
         }
     }
 }
 
-void Gateway::leaveBefore(SteadyTime deadline)
+void Gateway::shutDownBefore(SteadyTime deadline)
 {
     logEvent(LogLevel::Warning, "reclaim_notice", { { "time_left_ms", toMilliseconds(deadline - steadyNow()).count() }, { "running", m_requests.runningCount() } });
-    auto usable = deadline - lastBytesTime;
-    m_requests.beginLeaving(usable);
-    m_requests.handOver(usable);
-    waitAnswersWritten(deadline);
+    auto handoverDeadline = deadline - finalWriteReserve;
+    m_requests.beginShutdown(handoverDeadline);
+    m_requests.handOver(handoverDeadline);
+    waitForResponsesWritten(deadline);
     logEvent(LogLevel::Info, "left", { { "running", m_requests.runningCount() } });
 }
 
 void Gateway::drain(StopSignal& signal)
 {
     logEvent(LogLevel::Info, "drain_started", { { "running", m_requests.runningCount() } });
-    m_requests.beginLeaving(steadyNow() + stopHandoverTime);
-    bool hurried = false;
+    m_requests.beginShutdown(steadyNow() + drainHandoverTimeout);
+    bool isInterrupted = false;
     auto interrupted = [&] {
         std::lock_guard lock(m_mutex);
-        hurried = hurried || signal.waitFor(Milliseconds(0)) || m_reclaimDeadline.has_value();
-        return hurried;
+        isInterrupted = isInterrupted || signal.waitFor(Milliseconds(0)) || m_reclaimDeadline.has_value();
+        return isInterrupted;
     };
-    m_requests.waitIdle(m_options.drainLimit, interrupted);
-    m_requests.handOver(steadyNow() + stopHandoverTime);
-    waitAnswersWritten(steadyNow() + stopAnswerTime);
+    m_requests.waitUntilIdle(m_options.drainLimit, interrupted);
+    m_requests.handOver(steadyNow() + drainHandoverTimeout);
+    waitForResponsesWritten(steadyNow() + drainResponseTimeout);
     logEvent(LogLevel::Info, "drain_ended", { { "running", m_requests.runningCount() } });
 }
 
-void Gateway::waitAnswersWritten(SteadyTime deadline) const
+void Gateway::waitForResponsesWritten(SteadyTime deadline) const
 {
-    while (m_api.openAnswers() > 0 && steadyNow() < deadline)
-        std::this_thread::sleep_for(answerPoll);
+    while (m_api.openResponses() > 0 && steadyNow() < deadline)
+        std::this_thread::sleep_for(responsePollInterval);
 }
 
 } // namespace Onyxnotch
--- a/modules/gateway/gateway.h
+++ b/modules/gateway/gateway.h
@@ -1,4 +1,5 @@
-// A whole gateway: what onyxnotch-gateway runs.
+// The gateway process (onyxnotch-gateway): joins the cluster, serves client requests over HTTP, polls the load of model engines, and
+// hands over its requests at a planned stop or when the cloud reclaims its instance.
 #pragma once
 
 #include "core/stop_signal.h"
@@ -10,14 +11,14 @@
 struct GatewayOptions {
     NodeOptions node {};
     HttpServerOptions http {};
-    std::uint16_t advertisedHttpPort { 0 }; // 0 for the bound one.
+    std::uint16_t advertisedHttpPort { 0 }; // Port that other nodes and clients use; 0: the port that `http` is bound to.
     GatewayApiOptions api {};
     RequestServerOptions requests {};
     std::size_t endpointSubset { 64 };
     RouteOptions routing {};
     std::string routingPolicy { "cheapest-in-time" };
-    Milliseconds drainLimit { 30000 }; // For requests in flight to end at a planned stop, before they are handed over.
-    Milliseconds loadPeriod { 500 }; // Between load reports of one endpoint.
+    Milliseconds drainLimit { 30000 }; // At a planned stop, time for running requests to finish before they are handed over.
+    Milliseconds loadPeriod { 500 }; // Interval at which each endpoint is polled for its load.
 };
 
 class Gateway {
@@ -28,21 +29,23 @@
     Gateway& operator=(const Gateway&) = delete;
 
     Status start();
-    // Runs until a stop signal or a reclaim notice for this instance, then leaves in order. Returns when nothing is left to do.
+    // Blocks until a stop signal or a reclaim notice for this instance arrives, then shuts down gracefully: hands over or finishes the
+    // running requests. Returns when the shutdown is complete.
     void runUntilStopped(StopSignal&);
 
     Address httpAddress() const { return m_http.address(); }
     Address peerAddress() const { return m_node.peerAddress(); }
 
 private:
-    void watchOwnNotice();
-    void noticeReclaim(Milliseconds timeLeft);
+    void watchReclaimNotices();
+    void setReclaimDeadline(Milliseconds timeLeft);
     void pollLoads();
-    // A planned stop: requests end here, or move once the limit or a second signal has come.
+    // Planned stop: lets running requests finish, then hands over those that still run after `drainLimit`, a second stop signal or a
+    // reclaim notice.
     void drain(StopSignal&);
-    // The instance goes at the deadline.
-    void leaveBefore(SteadyTime deadline);
-    void waitAnswersWritten(SteadyTime deadline) const;
+    // Hands over all requests in time for the cloud to end this instance at `deadline`.
+    void shutDownBefore(SteadyTime deadline);
+    void waitForResponsesWritten(SteadyTime deadline) const;
 
     GatewayOptions m_options;
     Node m_node;
--- a/modules/gateway/gateway_api.cpp
+++ b/modules/gateway/gateway_api.cpp
@@ -21,7 +21,7 @@
     constexpr auto outcomeHeader = "Onyxnotch-Outcome";
     constexpr auto eventStream = "text/event-stream";
     constexpr Milliseconds pollInterval { 250 };
-    constexpr Milliseconds relaySilence { 310000 };
+    constexpr Milliseconds relayReadTimeout { 310000 };
     constexpr double millisecondsPerSecond = 1000;
 
     std::string dump(const Json& document)
@@ -53,7 +53,7 @@
         return HttpStatus::badGateway;
     }
 
-    // Where a caller stopped reading: "ATTEMPT:OFFSET".
+    // Position after the last event that a client received, parsed from an event id of the form "ATTEMPT:OFFSET".
     struct ReadPosition {
         std::string attempt;
         std::uint64_t offset { 0 };
@@ -75,17 +75,17 @@
         return position;
     }
 
-    // Counts an answer for as long as it lives: while it is made, and until it is written.
-    class OpenAnswer {
+    // Counts a response as open from its creation until it has been written; decrements the counter in the destructor.
+    class OpenResponseGuard {
     public:
-        explicit OpenAnswer(std::atomic<unsigned>& count)
+        explicit OpenResponseGuard(std::atomic<unsigned>& count)
             : m_count(count)
         {
             ++m_count;
         }
-        ~OpenAnswer() { --m_count; }
-        OpenAnswer(const OpenAnswer&) = delete;
-        OpenAnswer& operator=(const OpenAnswer&) = delete;
+        ~OpenResponseGuard() { --m_count; }
+        OpenResponseGuard(const OpenResponseGuard&) = delete;
+        OpenResponseGuard& operator=(const OpenResponseGuard&) = delete;
 
     private:
         std::atomic<unsigned>& m_count;
@@ -133,7 +133,7 @@
         server.route(method, "/v1/services/([^/]+)(/.*)?", guarded(&GatewayApi::plain));
 }
 
-std::optional<Caller> GatewayApi::authenticate(const HttpRequest& request) const
+std::optional<AuthenticatedClient> GatewayApi::authenticate(const HttpRequest& request) const
 {
     auto key = bearerKey(request);
     if (key.empty())
@@ -143,7 +143,7 @@
     if (!object)
         return std::nullopt;
     const auto& team = std::get<TeamSpec>(object->spec);
-    return Caller { .team = object->name.name, .requestsPerSecond = team.requestsPerSecond, .priority = team.priority, .services = team.services };
+    return AuthenticatedClient { .team = object->name.name, .requestsPerSecond = team.requestsPerSecond, .priority = team.priority, .services = team.services };
 }
 
 bool GatewayApi::isOperator(const HttpRequest& request) const
@@ -153,17 +153,18 @@
 
 HttpResponse GatewayApi::authorized(const HttpRequest& request, AuthorizedHandler handler)
 {
-    auto caller = authenticate(request);
-    if (!caller)
-        return answerError({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::unauthorized, .reason = "unknown key" }, {});
-    auto open = std::make_shared<OpenAnswer>(m_openAnswers);
-    auto response = (this->*handler)(request, *caller);
-    // A node that leaves waits for what it has answered to be written: 2 of 76 calls that ended in its last moment were cut before, as callers saw.
+    auto client = authenticate(request);
+    if (!client)
+        return errorResponse({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::unauthorized, .reason = "unknown key" }, {});
+    auto open = std::make_shared<OpenResponseGuard>(m_openResponses);
+    auto response = (this->*handler)(request, *client);
+    // A node that shuts down waits until its responses are written. Without this, 2 of 76 calls that completed just before the exit
+    // were cut off at the client.
     response.untilWritten = std::move(open);
     return response;
 }
 
-HttpResponse GatewayApi::answerError(const RequestError& error, const std::string& requestId) const
+HttpResponse GatewayApi::errorResponse(const RequestError& error, const std::string& requestId) const
 {
     HttpResponse response { .status = error.httpStatus, .body = errorBody(error, requestId) };
     response.headers.emplace(outcomeHeader, toString(error.outcome));
@@ -172,88 +173,88 @@
     return response;
 }
 
-HttpResponse GatewayApi::addresses(const HttpRequest& request, const Caller& caller)
+HttpResponse GatewayApi::addresses(const HttpRequest& request, const AuthenticatedClient& client)
 {
     auto wanted = request.queryValue("tickets");
     unsigned count = 0;
     auto [end, ec] = std::from_chars(wanted.data(), wanted.data() + wanted.size(), count);
     if (!wanted.empty() && (ec != std::errc() || end != wanted.data() + wanted.size() || count > m_options.maximumTicketsPerCall))
-        return answerError({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::badRequest, .reason = "tickets must be a number up to " + std::to_string(m_options.maximumTicketsPerCall) }, {});
+        return errorResponse({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::badRequest, .reason = "tickets must be a number up to " + std::to_string(m_options.maximumTicketsPerCall) }, {});
     Json body { { "addresses", m_requests.addresses(m_options.addressCount) }, { "valid_ms", m_options.addressesValid.count() }, { "tickets", Json::array() } };
-    // A leaving node's tickets would have to be looked for elsewhere at once.
-    for (unsigned n = 0; n < count && !m_requests.leaving(); ++n)
-        body["tickets"].push_back({ { "ticket", m_requests.issueTicket(caller) }, { "address", m_membership.view()->self.httpAddress().text() } });
+    // A node that is shutting down issues no tickets: requests with them would have to be looked up at its successor at once.
+    for (unsigned n = 0; n < count && !m_requests.isShuttingDown(); ++n)
+        body["tickets"].push_back({ { "ticket", m_requests.issueTicket(client) }, { "address", m_membership.view()->self.httpAddress().text() } });
     return jsonResponse(200, body);
 }
 
-HttpResponse GatewayApi::models(const HttpRequest&, const Caller& caller)
+HttpResponse GatewayApi::models(const HttpRequest&, const AuthenticatedClient& client)
 {
     Json list = Json::array();
     m_replica.state()->configuration.forEach<ServiceSpec>([&](const DeclaredObject& object, const ServiceSpec& service) {
-        if (service.type == ServiceType::Model && caller.services.matches(object.labels))
+        if (service.type == ServiceType::Model && client.services.matches(object.labels))
             list.push_back({ { "id", object.name.name }, { "object", "model" }, { "owned_by", "onyxnotch" } });
     });
     return jsonResponse(200, { { "object", "list" }, { "data", list } });
 }
 
-HttpResponse GatewayApi::chat(const HttpRequest& request, const Caller& caller)
+HttpResponse GatewayApi::chat(const HttpRequest& request, const AuthenticatedClient& client)
 {
     auto chatRequest = parseChatRequest(request.body);
     if (!chatRequest)
-        return answerError({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::badRequest, .reason = chatRequest.error().message }, {});
-    auto accepted = m_requests.acceptModel(caller, chatRequest.value(), request.header(ticketHeader), !request.header(forwardedHeader).empty());
+        return errorResponse({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::badRequest, .reason = chatRequest.error().message }, {});
+    auto accepted = m_requests.acceptModel(client, chatRequest.value(), request.header(ticketHeader), !request.header(forwardedHeader).empty());
     if (accepted.forwardTo)
         return relay(request, *accepted.forwardTo, accepted.requestId);
     if (accepted.error)
-        return answerError(*accepted.error, accepted.requestId);
-    return chatRequest.value().stream ? streamAnswer(accepted.request, 0, true) : wholeAnswer(accepted.request);
+        return errorResponse(*accepted.error, accepted.requestId);
+    return chatRequest.value().stream ? streamResponse(accepted.request, 0, true) : completeResponse(accepted.request);
 }
 
-HttpResponse GatewayApi::resume(const HttpRequest& request, const Caller& caller)
+HttpResponse GatewayApi::resume(const HttpRequest& request, const AuthenticatedClient& client)
 {
     const auto& id = request.captures.at(0);
-    auto found = m_requests.find(caller, id, !request.header(forwardedHeader).empty());
+    auto found = m_requests.find(client, id, !request.header(forwardedHeader).empty());
     if (found.forwardTo)
         return relay(request, *found.forwardTo, id);
     if (found.error)
-        return answerError(*found.error, id);
+        return errorResponse(*found.error, id);
     if (!request.queryValue("whole").empty())
-        return wholeAnswer(found.request);
+        return completeResponse(found.request);
     auto text = request.queryValue("last_event_id");
     auto position = parsePosition(text.empty() ? request.header("last-event-id") : text);
     if (!position)
-        return answerError({ .outcome = RequestOutcome::Failed, .httpStatus = HttpStatus::badRequest, .reason = "the last event id is not ATTEMPT:OFFSET" }, id);
+        return errorResponse({ .outcome = RequestOutcome::Failed, .httpStatus = HttpStatus::badRequest, .reason = "the last event id is not ATTEMPT:OFFSET" }, id);
     if (!found.request->answer().continues(position->attempt, position->offset))
-        return answerError({ .outcome = RequestOutcome::Failed, .httpStatus = HttpStatus::conflict, .reason = "this answer does not go on from there; read it from the start" }, id);
-    return streamAnswer(found.request, position->offset, false);
+        return errorResponse({ .outcome = RequestOutcome::Failed, .httpStatus = HttpStatus::conflict, .reason = "this answer does not go on from there; read it from the start" }, id);
+    return streamResponse(found.request, position->offset, false);
 }
 
-HttpResponse GatewayApi::streamAnswer(const std::shared_ptr<ActiveRequest>& request, std::uint64_t offset, bool first)
+HttpResponse GatewayApi::streamResponse(const std::shared_ptr<ActiveRequest>& request, std::uint64_t offset, bool isFirstResponse)
 {
     HttpResponse response { .contentType = eventStream };
     response.headers.emplace(requestIdHeader, request->description().id);
     response.headers.emplace("Cache-Control", "no-store");
-    response.stream = [this, request, offset, first](const HttpStreamWriter& writer) { writeAnswer(request, offset, first, writer); };
+    response.stream = [this, request, offset, isFirstResponse](const HttpStreamWriter& writer) { writeEventStream(request, offset, isFirstResponse, writer); };
     return response;
 }
 
-void GatewayApi::writeAnswer(const std::shared_ptr<ActiveRequest>& request, std::uint64_t offset, bool first, const HttpStreamWriter& writer)
+void GatewayApi::writeEventStream(const std::shared_ptr<ActiveRequest>& request, std::uint64_t offset, bool isFirstResponse, const HttpStreamWriter& writer)
 {
     request->noteReader(1);
     ChatEventWriter events(request->description().id, request->description().service);
-    bool connected = !first || writer(events.accepted());
+    bool connected = !isFirstResponse || writer(events.accepted());
     auto started = steadyNow();
     auto lastWrite = started;
-    bool sawText = !first;
+    bool hasSentText = !isFirstResponse;
     while (connected) {
         auto part = request->answer().wait(offset, pollInterval);
         if (!part.text.empty()) {
             connected = writer(events.text(part));
             offset += part.text.size();
             auto now = steadyNow();
-            if (!sawText)
+            if (!hasSentText)
                 m_metrics.observeSeconds("onyxnotch_first_token_seconds", std::chrono::duration<double>(now - started).count(), { { "service", request->description().service }, { "team", request->description().team } });
-            sawText = true;
+            hasSentText = true;
             lastWrite = now;
             continue;
         }
@@ -263,17 +264,17 @@
         }
         if (part.outcome != RequestOutcome::Running) {
             auto trace = request->traceEntries();
-            auto comeBack = part.outcome == RequestOutcome::NotRun ? m_requests.comeBackTo(request->description().service) : Milliseconds(0);
-            writer(events.failed(part.outcome, trace.empty() ? std::string() : trace.back().detail, comeBack));
+            auto retryDelay = part.outcome == RequestOutcome::NotRun ? m_requests.retryAfterFor(request->description().service) : Milliseconds(0);
+            writer(events.failed(part.outcome, trace.empty() ? std::string() : trace.back().detail, retryDelay));
             break;
         }
-        auto addresses = part.moved ? m_requests.movedTo(request->description().id) : std::vector<std::string>();
+        auto addresses = part.moved ? m_requests.newAddressesOf(request->description().id) : std::vector<std::string>();
         if (!addresses.empty()) {
             writer(events.moved(addresses));
             break;
         }
         if (part.moved)
-            std::this_thread::sleep_for(Milliseconds(20)); // Its new place is not known yet.
+            std::this_thread::sleep_for(Milliseconds(20)); // The request has moved, but the address of its new node is not known yet.
         if (steadyNow() - lastWrite >= m_options.keepAlive) {
             connected = writer(": keep-alive\n\n");
             lastWrite = steadyNow();
@@ -282,7 +283,7 @@
     request->noteReader(-1);
 }
 
-HttpResponse GatewayApi::wholeAnswer(const std::shared_ptr<ActiveRequest>& request)
+HttpResponse GatewayApi::completeResponse(const std::shared_ptr<ActiveRequest>& request)
 {
     const auto& description = request->description();
     request->noteReader(1);
@@ -300,11 +301,11 @@
             auto trace = request->traceEntries();
             RequestError error { .outcome = part.outcome, .httpStatus = httpStatusOf(part.outcome), .reason = trace.empty() ? std::string() : trace.back().detail };
             if (part.outcome == RequestOutcome::NotRun)
-                error.retryAfter = m_requests.comeBackTo(description.service);
-            response = answerError(error, description.id);
+                error.retryAfter = m_requests.retryAfterFor(description.service);
+            response = errorResponse(error, description.id);
             break;
         }
-        auto addresses = part.moved ? m_requests.movedTo(description.id) : std::vector<std::string>();
+        auto addresses = part.moved ? m_requests.newAddressesOf(description.id) : std::vector<std::string>();
         if (!addresses.empty()) {
             response.status = HttpStatus::seeOther;
             response.headers.emplace("Location", "http://" + addresses.front() + "/v1/requests/" + description.id + "?whole=1");
@@ -317,7 +318,7 @@
     return response;
 }
 
-HttpResponse GatewayApi::plain(const HttpRequest& request, const Caller& caller)
+HttpResponse GatewayApi::plain(const HttpRequest& request, const AuthenticatedClient& client)
 {
     auto ticket = request.header(ticketHeader);
     PlainRequest plainRequest {
@@ -327,17 +328,17 @@
         .body = request.body,
         .contentType = request.header("content-type"),
     };
-    auto accepted = m_requests.runPlain(caller, plainRequest, ticket, !request.header(forwardedHeader).empty());
+    auto accepted = m_requests.runPlain(client, plainRequest, ticket, !request.header(forwardedHeader).empty());
     if (accepted.forwardTo)
         return relay(request, *accepted.forwardTo, ticket);
     if (accepted.error)
-        return answerError(*accepted.error, accepted.requestId);
+        return errorResponse(*accepted.error, accepted.requestId);
     const auto& answer = *accepted.answer;
     if (answer.outcome != RequestOutcome::Completed) {
         RequestError error { .outcome = answer.outcome, .httpStatus = httpStatusOf(answer.outcome), .reason = answer.reason };
         if (answer.outcome == RequestOutcome::NotRun)
-            error.retryAfter = m_requests.comeBackTo(plainRequest.service);
-        return answerError(error, accepted.requestId);
+            error.retryAfter = m_requests.retryAfterFor(plainRequest.service);
+        return errorResponse(error, accepted.requestId);
     }
     HttpResponse response { .status = answer.httpStatus, .contentType = answer.contentType, .body = answer.body };
     response.headers.emplace(requestIdHeader, accepted.requestId);
@@ -347,7 +348,7 @@
 
 HttpResponse GatewayApi::relay(const HttpRequest& request, const Member& target, const std::string& requestId)
 {
-    HttpCall call { .method = request.method, .path = request.path, .headers = { { forwardedHeader, m_options.instance } }, .body = request.body, .readTimeout = relaySilence };
+    HttpCall call { .method = request.method, .path = request.path, .headers = { { forwardedHeader, m_options.instance } }, .body = request.body, .readTimeout = relayReadTimeout };
     call.contentType = request.header("content-type");
     for (const auto* name : { "authorization", ticketHeader, "last-event-id", "accept" }) {
         if (!request.header(name).empty())
@@ -356,9 +357,10 @@
     call.path = pathWithQuery(request.path, request.query);
     m_metrics.increment("onyxnotch_relayed_requests_total");
     auto id = requestId.empty() ? request.header(ticketHeader) : requestId;
-    // A leaving gateway ends what it relays: the caller goes on at the node that runs the request.
+    // A gateway that shuts down ends the streams that it relays with a `moved` event, which directs the client to the node that runs
+    // the request.
     auto interruption = [this, id, address = target.httpAddress().text()]() -> std::string {
-        if (!m_requests.leaving() || id.empty())
+        if (!m_requests.isShuttingDown() || id.empty())
             return {};
         return ChatEventWriter(id, {}).moved({ address });
     };
@@ -366,17 +368,17 @@
     auto response = relayHttp(target.httpAddress(), call, streams ? RelayInterruption(interruption) : RelayInterruption());
     if (response)
         return response.value();
-    // Also where the call was never sent: an earlier copy may have run there.
+    // The outcome is unknown even if this call was never sent: an earlier copy of the request may have been executed there.
     RequestError error { .outcome = RequestOutcome::Unknown, .httpStatus = HttpStatus::gatewayTimeout, .reason = "the node that answers for this request cannot be reached: " + response.error().message };
-    return answerError(error, id);
+    return errorResponse(error, id);
 }
 
 HttpResponse GatewayApi::readiness() const
 {
     auto version = m_replica.state()->configuration.version();
-    bool ready = version > 0 && !m_requests.leaving();
-    auto reason = version == 0 ? "no configuration yet" : m_requests.leaving() ? "leaving"
-                                                                               : "";
+    bool ready = version > 0 && !m_requests.isShuttingDown();
+    auto reason = version == 0 ? "no configuration yet" : m_requests.isShuttingDown() ? "leaving"
+                                                                                      : "";
     return jsonResponse(ready ? 200 : HttpStatus::serviceUnavailable, { { "ready", ready }, { "reason", reason }, { "configuration_version", version } });
 }
 
@@ -384,7 +386,7 @@
 {
     auto state = m_replica.state();
     auto view = m_membership.view();
-    Json body { { "instance", m_options.instance }, { "zone", m_options.zone }, { "configuration_version", state->configuration.version() }, { "leaving", m_requests.leaving() } };
+    Json body { { "instance", m_options.instance }, { "zone", m_options.zone }, { "configuration_version", state->configuration.version() }, { "leaving", m_requests.isShuttingDown() } };
     body["running_requests"] = m_requests.runningCount();
     body["ledger_entries"] = m_requests.ledgerEntries();
     body["members"] = Json::array();
--- a/modules/gateway/gateway_api.h
+++ b/modules/gateway/gateway_api.h
@@ -1,4 +1,5 @@
-// The callers' and operators' HTTP interface of a gateway.
+// HTTP API of a gateway for clients (chat completions, plain service calls, resuming a request) and for operators (status, trace of
+// a request). Authenticates, parses, and formats; the requests themselves are run by RequestServer.
 #pragma once
 
 #include "core/net/http_relay.h"
@@ -10,42 +11,42 @@
 struct GatewayApiOptions {
     std::string instance {};
     std::string zone {};
-    std::string operatorKeyDigest {}; // SHA-256 of the operators' bearer key; empty: status and explain need no key.
-    Milliseconds addressesValid { 30000 }; // How long callers may keep an answer about addresses.
+    std::string operatorKeyDigest {}; // SHA-256 of the operators' bearer key; if empty, /v1/status and /v1/explain need no key.
+    Milliseconds addressesValid { 30000 }; // How long clients may cache a response of /v1/addresses.
     std::size_t addressCount { 8 };
     unsigned maximumTicketsPerCall { 32 };
-    Milliseconds keepAlive { 1000 }; // Between comment lines on a silent stream, which show whether the caller is still there.
+    Milliseconds keepAlive { 1000 }; // Interval of comment lines on an idle stream; a failed write detects a disconnected client.
 };
 
 class GatewayApi {
 public:
-    // Adds its routes to the server, which must outlive it.
+    // Adds the API's routes to the HTTP server. The referenced objects must outlive this one.
     GatewayApi(const GatewayApiOptions&, HttpServer&, RequestServer&, const StateReplica&, const MembershipServer&, Metrics&);
 
-    // Connections that are being answered; a leaving gateway waits for them.
-    unsigned openAnswers() const { return m_openAnswers; }
+    // Number of responses that are being produced or written. A gateway that shuts down waits until it is zero.
+    unsigned openResponses() const { return m_openResponses; }
 
 private:
-    using AuthorizedHandler = HttpResponse (GatewayApi::*)(const HttpRequest&, const Caller&);
+    using AuthorizedHandler = HttpResponse (GatewayApi::*)(const HttpRequest&, const AuthenticatedClient&);
 
     void addRoutes(HttpServer&);
-    std::optional<Caller> authenticate(const HttpRequest&) const;
+    std::optional<AuthenticatedClient> authenticate(const HttpRequest&) const;
     bool isOperator(const HttpRequest&) const;
     HttpResponse authorized(const HttpRequest&, AuthorizedHandler);
 
-    HttpResponse addresses(const HttpRequest&, const Caller&);
-    HttpResponse chat(const HttpRequest&, const Caller&);
-    HttpResponse plain(const HttpRequest&, const Caller&);
-    HttpResponse resume(const HttpRequest&, const Caller&);
-    HttpResponse models(const HttpRequest&, const Caller&);
+    HttpResponse addresses(const HttpRequest&, const AuthenticatedClient&);
+    HttpResponse chat(const HttpRequest&, const AuthenticatedClient&);
+    HttpResponse plain(const HttpRequest&, const AuthenticatedClient&);
+    HttpResponse resume(const HttpRequest&, const AuthenticatedClient&);
+    HttpResponse models(const HttpRequest&, const AuthenticatedClient&);
     HttpResponse readiness() const;
     HttpResponse status() const;
     HttpResponse explain(const HttpRequest&);
 
-    HttpResponse answerError(const RequestError&, const std::string& requestId) const;
-    HttpResponse streamAnswer(const std::shared_ptr<ActiveRequest>&, std::uint64_t offset, bool first);
-    void writeAnswer(const std::shared_ptr<ActiveRequest>&, std::uint64_t offset, bool first, const HttpStreamWriter&);
-    HttpResponse wholeAnswer(const std::shared_ptr<ActiveRequest>&);
+    HttpResponse errorResponse(const RequestError&, const std::string& requestId) const;
+    HttpResponse streamResponse(const std::shared_ptr<ActiveRequest>&, std::uint64_t offset, bool isFirstResponse);
+    void writeEventStream(const std::shared_ptr<ActiveRequest>&, std::uint64_t offset, bool isFirstResponse, const HttpStreamWriter&);
+    HttpResponse completeResponse(const std::shared_ptr<ActiveRequest>&);
     HttpResponse relay(const HttpRequest&, const Member&, const std::string& requestId);
 
     GatewayApiOptions m_options;
@@ -53,7 +54,7 @@
     const StateReplica& m_replica;
     const MembershipServer& m_membership;
     Metrics& m_metrics;
-    std::atomic<unsigned> m_openAnswers { 0 };
+    std::atomic<unsigned> m_openResponses { 0 };
 };
 
 } // namespace Onyxnotch
--- a/modules/gateway/request_server.cpp
+++ b/modules/gateway/request_server.cpp
@@ -11,22 +11,20 @@
 
 namespace {
 
-    constexpr Milliseconds leavingCheckPeriod { 100 };
+    constexpr Milliseconds drainingCheckPeriod { 100 };
     constexpr Milliseconds expirePeriod { 1000 };
-    // What was found of requests that end endpoints waits this long at most, and goes on from each node that it is new to. Without news
-    // nothing is sent.
-    constexpr Milliseconds suspectsPeriod { 100 };
-    constexpr std::size_t suspectsFanOut { 4 }; // Three steps reach sixty gateways.
-    constexpr Milliseconds suspectsCall { 500 };
-    // Blocked requests are told again this often, for nodes that have just started or missed it.
-    constexpr Milliseconds suspectsToldAgain { 1000 };
+    // Longest delay before new findings about suspected requests are sent. Each node relays findings that are new to it; nothing is
+    // sent if there are none.
+    constexpr Milliseconds suspectUpdatePeriod { 100 };
+    constexpr std::size_t suspectUpdateFanOut { 4 }; // Three hops are enough for sixty gateways.
+    constexpr Milliseconds suspectUpdateTimeout { 500 };
+    // Interval at which blocked requests are sent again, for nodes that have just started or missed an update.
+    constexpr Milliseconds blockedResendPeriod { 1000 };
     constexpr Milliseconds successorWait { 1500 };
     constexpr Milliseconds successorPoll { 20 };
     constexpr std::size_t maximumPlainTraces = 10000;
-    // Kept of the time on notice for the last messages to the successor.
-
-    constexpr Milliseconds shortestComeBack { 100 };
-    constexpr Milliseconds longestComeBack { 5000 };
+    constexpr Milliseconds minimumRetryAfter { 100 };
+    constexpr Milliseconds maximumRetryAfter { 5000 };
 
     RequestError refusal(int status, std::string reason, Milliseconds retryAfter = Milliseconds(0))
     {
@@ -61,24 +59,24 @@
     m_subscriptions.clear();
     for (const auto& it : m_table.all())
         it->interrupt(Interruption::Handover);
-    giveUpPlainCalls();
+    abandonPlainCalls();
     std::unique_lock lock(m_mutex);
-    m_idle.wait(lock, [this] { return m_threads == 0; });
+    m_idleCondition.wait(lock, [this] { return m_requestThreads == 0; });
 }
 
 void RequestServer::start()
 {
-    m_subscriptions.push_back(m_timers.every(leavingCheckPeriod, [this] { checkLeavingEndpoints(); }));
+    m_subscriptions.push_back(m_timers.every(drainingCheckPeriod, [this] { interruptOnDrainingEndpoints(); }));
     m_subscriptions.push_back(m_timers.every(expirePeriod, [this] { expire(); }));
-    m_subscriptions.push_back(m_timers.every(suspectsPeriod, [this] { tellSuspects(); }));
+    m_subscriptions.push_back(m_timers.every(suspectUpdatePeriod, [this] { sendSuspectUpdate(); }));
 }
 
 // --- Tickets ---
 
-std::optional<Member> RequestServer::waitSuccessor() const
+std::optional<Member> RequestServer::waitForSuccessor() const
 {
-    // The ledgers are being given just now, which takes a few messages. Where the answer to them was lost, the node that has them
-    // says so itself.
+    // The ledgers are being handed over, which takes a few messages. If the reply to them is lost, the successor still announces
+    // through the membership that it has the ledgers.
     auto limit = steadyNow() + successorWait;
     while (steadyNow() < limit) {
         if (auto successor = m_handover.successor())
@@ -91,47 +89,47 @@
     return std::nullopt;
 }
 
-void RequestServer::resolveGiven(TicketDecision& decision, bool forwarded) const
+void RequestServer::resolveHandedOverTicket(TicketDecision& decision, bool forwarded) const
 {
-    decision.forwardTo = forwarded ? std::nullopt : waitSuccessor();
+    decision.forwardTo = forwarded ? std::nullopt : waitForSuccessor();
     if (!decision.forwardTo)
         decision.error = unknownOutcome("this node is leaving and its successor is not known");
 }
 
-RequestServer::TicketPlace RequestServer::locate(const Ticket& ticket, bool forwarded) const
+RequestServer::TicketLocation RequestServer::locate(const Ticket& ticket, bool forwarded) const
 {
     if (m_ledgers.answersFor(ticket)) {
-        bool given = m_ledgers.given();
-        return { .here = !given, .given = given, .forwardTo = std::nullopt };
+        bool isHandedOver = m_ledgers.given();
+        return { .isLocal = !isHandedOver, .isHandedOver = isHandedOver, .forwardTo = std::nullopt };
     }
     if (forwarded)
         return {};
     auto member = m_membership.view()->answeringNode(ticket.node, ticket.incarnation);
     if (member && member->node == m_options.node)
         member.reset();
-    return { .here = false, .given = false, .forwardTo = member };
+    return { .isLocal = false, .isHandedOver = false, .forwardTo = member };
 }
 
-RequestServer::TicketDecision RequestServer::decideTicket(const Caller& caller, const std::string& text, bool repeatable, bool forwarded)
+RequestServer::TicketDecision RequestServer::decideTicket(const AuthenticatedClient& client, const std::string& text, bool repeatable, bool forwarded)
 {
     auto ticket = parseTicket(text);
     if (!ticket)
         return { .error = refusal(HttpStatus::badRequest, ticket.error().message) };
     auto place = locate(ticket.value(), forwarded);
-    if (place.here)
-        return decideHere(caller, ticket.value(), repeatable);
-    if (place.given)
-        return { .given = true };
+    if (place.isLocal)
+        return decideLocalTicket(client, ticket.value(), repeatable);
+    if (place.isHandedOver)
+        return { .isHandedOver = true };
     if (place.forwardTo)
         return { .forwardTo = place.forwardTo };
     if (repeatable)
-        return { .startAfresh = true };
+        return { .runAsNew = true };
     return { .error = unknownOutcome("the node that answers for this ticket cannot be asked") };
 }
 
-RequestServer::TicketDecision RequestServer::decideHere(const Caller& caller, const Ticket& ticket, bool repeatable)
+RequestServer::TicketDecision RequestServer::decideLocalTicket(const AuthenticatedClient& client, const Ticket& ticket, bool repeatable)
 {
-    auto decision = m_ledgers.admit(ticket, caller.team);
+    auto decision = m_ledgers.admit(ticket, client.team);
     if (!decision && decision.error().code == ErrorCode::Unauthorized)
         return { .error = refusal(HttpStatus::forbidden, decision.error().message) };
     if (!decision)
@@ -140,52 +138,52 @@
     case LedgerVerdict::Run:
         return { .requestId = ticket.text() };
     case LedgerVerdict::Known:
-        return decideKnown(*decision.value().entry, repeatable);
+        return decideExisting(*decision.value().entry, repeatable);
     case LedgerVerdict::Refused:
-        return { .error = refusal(HttpStatus::serviceUnavailable, "this ticket was refused before", m_options.comeBack) };
+        return { .error = refusal(HttpStatus::serviceUnavailable, "this ticket was refused before", m_options.defaultRetryAfter) };
     case LedgerVerdict::Full:
-        return { .error = refusal(HttpStatus::serviceUnavailable, "the request ledger of this node is full", m_options.comeBack) };
+        return { .error = refusal(HttpStatus::serviceUnavailable, "the request ledger of this node is full", m_options.defaultRetryAfter) };
     case LedgerVerdict::Expired:
         if (repeatable)
-            return { .startAfresh = true };
+            return { .runAsNew = true };
         return { .error = unknownOutcome("the ticket has expired") };
     case LedgerVerdict::Given:
-        return { .given = true };
+        return { .isHandedOver = true };
     }
     return { .error = unknownOutcome("not decided") };
 }
 
-RequestServer::TicketDecision RequestServer::decideKnown(const LedgerEntry& entry, bool repeatable)
+RequestServer::TicketDecision RequestServer::decideExisting(const LedgerEntry& entry, bool repeatable)
 {
-    bool here = entry.holderNode == m_options.node && entry.holderIncarnation == m_options.incarnation;
-    if (here || entry.outcome != RequestOutcome::Running)
-        return { .known = entry };
+    bool isLocal = entry.holderNode == m_options.node && entry.holderIncarnation == m_options.incarnation;
+    if (isLocal || entry.outcome != RequestOutcome::Running)
+        return { .existing = entry };
     auto holder = m_membership.view()->answeringNode(entry.holderNode, entry.holderIncarnation);
     if (holder && holder->node != m_options.node)
         return { .forwardTo = holder };
     if (repeatable)
-        return { .startAfresh = true };
+        return { .runAsNew = true };
     return { .error = unknownOutcome("the node that ran it is gone") };
 }
 
-RequestServer::TicketDecision RequestServer::enterFresh(const Caller& caller, bool mayHaveRunElsewhere)
+RequestServer::TicketDecision RequestServer::admitUnderNewTicket(const AuthenticatedClient& client, bool mayHaveRunElsewhere)
 {
     auto refuse = [&](const std::string& reason) {
-        return mayHaveRunElsewhere ? unknownOutcome(reason) : refusal(HttpStatus::serviceUnavailable, reason, m_options.comeBack);
+        return mayHaveRunElsewhere ? unknownOutcome(reason) : refusal(HttpStatus::serviceUnavailable, reason, m_options.defaultRetryAfter);
     };
-    if (m_leaving) {
+    if (m_isShuttingDown) {
         auto error = refuse("this node is leaving");
         error.addresses = addresses(4);
         return { .error = error };
     }
-    auto ticket = m_ledgers.issue(caller.team);
-    auto decision = m_ledgers.admit(ticket, caller.team);
+    auto ticket = m_ledgers.issue(client.team);
+    auto decision = m_ledgers.admit(ticket, client.team);
     if (!decision || decision.value().verdict != LedgerVerdict::Run)
         return { .error = refuse("the request ledger of this node is full") };
     return { .requestId = ticket.text() };
 }
 
-std::string RequestServer::issueTicket(const Caller& caller) { return m_ledgers.issue(caller.team).text(); }
+std::string RequestServer::issueTicket(const AuthenticatedClient& client) { return m_ledgers.issue(client.team).text(); }
 
 std::vector<std::string> RequestServer::addresses(std::size_t count) const
 {
@@ -193,12 +191,12 @@
     auto members = view->usable(MemberRole::Gateway);
     thread_local std::mt19937_64 random { std::random_device {}() };
     std::shuffle(members.begin(), members.end(), random);
-    // A node that leaves with its zone must not be the only one that its callers know.
-    std::map<std::string, unsigned> ofZone;
+    // Orders gateways round-robin by zone, so that a client still knows a reachable gateway if a whole zone fails.
+    std::map<std::string, unsigned> zoneCounts;
     std::vector<std::pair<unsigned, std::string>> ranked;
     ranked.reserve(members.size());
     for (const auto& it : members)
-        ranked.emplace_back(ofZone[it.zone]++, it.httpAddress().text());
+        ranked.emplace_back(zoneCounts[it.zone]++, it.httpAddress().text());
     std::stable_sort(ranked.begin(), ranked.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
     std::vector<std::string> chosen;
     for (std::size_t n = 0; n < ranked.size() && n < count; ++n)
@@ -208,105 +206,105 @@
 
 // --- Acceptance ---
 
-std::optional<RequestError> RequestServer::permissionError(const Caller& caller, const std::string& service, ServiceType type) const
+std::optional<RequestError> RequestServer::permissionError(const AuthenticatedClient& client, const std::string& service, ServiceType type) const
 {
     auto state = m_replica.state();
     const auto* object = state->configuration.find({ .kind = ObjectKind::Service, .name = service });
     const auto* spec = object ? std::get_if<ServiceSpec>(&object->spec) : nullptr;
     if (!spec || spec->type != type)
         return refusal(HttpStatus::notFound, "no such service: " + service);
-    if (!caller.services.matches(object->labels))
-        return refusal(HttpStatus::forbidden, "team " + caller.team + " may not call " + service);
+    if (!client.services.matches(object->labels))
+        return refusal(HttpStatus::forbidden, "team " + client.team + " may not call " + service);
     return std::nullopt;
 }
 
-std::optional<RequestError> RequestServer::admissionError(const Caller& caller)
+std::optional<RequestError> RequestServer::admissionError(const AuthenticatedClient& client)
 {
     auto nodes = m_membership.view()->usable(MemberRole::Gateway).size();
     AdmissionRequest request {
-        .team = caller.team,
-        .teamRatePerSecond = caller.requestsPerSecond,
+        .team = client.team,
+        .teamRatePerSecond = client.requestsPerSecond,
         .nodes = static_cast<unsigned>(std::max<std::size_t>(1, nodes)),
-        .priority = caller.priority,
+        .priority = client.priority,
         .active = static_cast<unsigned>(m_table.runningCount()),
     };
     auto refused = m_admission.admit(request, steadyNow());
-    m_metrics.increment("onyxnotch_admissions_total", { { "team", caller.team }, { "result", refused ? "refused" : "accepted" } });
+    m_metrics.increment("onyxnotch_admissions_total", { { "team", client.team }, { "result", refused ? "refused" : "accepted" } });
     if (!refused)
         return std::nullopt;
     return refusal(HttpStatus::tooManyRequests, refused->reason, refused->retryAfter);
 }
 
-std::optional<RequestError> RequestServer::latenessError(const Caller& caller, const ChatRequest& chat) const
+std::optional<RequestError> RequestServer::latenessError(const AuthenticatedClient& client, const ChatRequest& chat) const
 {
     auto served = m_directory.servedModel(chat.service);
-    if (m_options.timelyPart <= 0 || caller.priority > 0 || !served)
+    if (m_options.timelyPart <= 0 || client.priority > 0 || !served)
         return std::nullopt;
     RouteRequest route { .promptTokens = estimateTokens(chat.prompt), .expectedTokens = chat.maximumTokens, .prefixHash = prefixHashOf(chat.prompt), .objective = served->objective };
-    // Where there is no endpoint at this moment, one may appear while the request waits.
-    auto late = m_directory.delayUntilTimely(chat.service, route, m_options.timelyPart);
-    if (!late)
+    // Without any endpoint there is no delay, so the request is admitted: an endpoint may appear while it waits.
+    auto delay = m_directory.delayUntilTimely(chat.service, route, m_options.timelyPart);
+    if (!delay)
         return std::nullopt;
-    auto retryAfter = std::clamp(*late, shortestComeBack, longestComeBack);
-    m_metrics.increment("onyxnotch_admissions_total", { { "team", caller.team }, { "result", "too_late" } });
+    auto retryAfter = std::clamp(*delay, minimumRetryAfter, maximumRetryAfter);
+    m_metrics.increment("onyxnotch_admissions_total", { { "team", client.team }, { "result", "too_late" } });
     return refusal(HttpStatus::tooManyRequests, "every endpoint is too busy for the objective of " + chat.service, retryAfter);
 }
 
-Acceptance RequestServer::acceptModel(const Caller& caller, const ChatRequest& chat, const std::string& ticket, bool forwarded)
+Acceptance RequestServer::acceptModel(const AuthenticatedClient& client, const ChatRequest& chat, const std::string& ticket, bool forwarded)
 {
     Acceptance acceptance;
-    acceptance.error = permissionError(caller, chat.service, ServiceType::Model);
+    acceptance.error = permissionError(client, chat.service, ServiceType::Model);
     if (acceptance.error)
         return acceptance;
     if (!ticket.empty() && m_table.find(ticket))
-        return find(caller, ticket, forwarded);
-    std::shared_lock acceptanceLock(m_acceptance);
-    auto decision = ticket.empty() ? enterFresh(caller, false) : decideTicket(caller, ticket, true, forwarded);
-    if (decision.given) {
+        return find(client, ticket, forwarded);
+    std::shared_lock acceptanceLock(m_acceptanceMutex);
+    auto decision = ticket.empty() ? admitUnderNewTicket(client, false) : decideTicket(client, ticket, true, forwarded);
+    if (decision.isHandedOver) {
         acceptanceLock.unlock();
-        resolveGiven(decision, forwarded);
+        resolveHandedOverTicket(decision, forwarded);
     }
-    bool afresh = decision.startAfresh;
-    if (afresh)
-        decision = enterFresh(caller, true);
-    if (decision.known) {
+    bool runsAsNew = decision.runAsNew;
+    if (runsAsNew)
+        decision = admitUnderNewTicket(client, true);
+    if (decision.existing) {
         acceptanceLock.unlock();
-        return findAnywhere(ticket, forwarded);
+        return findOrLocate(ticket, forwarded);
     }
     acceptance.error = decision.error;
     acceptance.forwardTo = decision.forwardTo;
     acceptance.requestId = decision.requestId;
     if (acceptance.error || acceptance.forwardTo)
         return acceptance;
-    auto refused = suspicionError(digestOf(caller.team, chat.service, {}, chat.prompt));
+    auto refused = suspicionError(digestOf(client.team, chat.service, {}, chat.prompt));
     if (!refused)
-        refused = admissionError(caller);
+        refused = admissionError(client);
     if (!refused)
-        refused = latenessError(caller, chat);
+        refused = latenessError(client, chat);
     if (refused) {
-        // Entered as not run: a copy that is still on its way will not run either.
+        // Recorded in the ledger as not run, so that a copy of the request that arrives later isn't executed either.
         m_ledgers.finish(decision.requestId, RequestOutcome::NotRun);
-        acceptance.error = afresh ? unknownOutcome(refused->reason) : *refused;
+        acceptance.error = runsAsNew ? unknownOutcome(refused->reason) : *refused;
         return acceptance;
     }
     m_retries.onRequest();
     RequestDescription description {
         .id = decision.requestId,
-        .team = caller.team,
+        .team = client.team,
         .service = chat.service,
         .prompt = chat.prompt,
         .promptTokens = estimateTokens(chat.prompt),
         .maximumTokens = chat.maximumTokens,
-        .priority = caller.priority,
+        .priority = client.priority,
     };
     acceptance.request = std::make_shared<ActiveRequest>(description, steadyNow() + m_options.requestDeadline);
-    acceptance.request->trace(m_options.node, "accepted", "team " + caller.team + ", service " + chat.service);
+    acceptance.request->trace(m_options.node, "accepted", "team " + client.team + ", service " + chat.service);
     m_table.add(acceptance.request);
     startThread(acceptance.request);
     return acceptance;
 }
 
-Acceptance RequestServer::findAnywhere(const std::string& requestId, bool forwarded)
+Acceptance RequestServer::findOrLocate(const std::string& requestId, bool forwarded)
 {
     Acceptance acceptance;
     acceptance.requestId = requestId;
@@ -319,91 +317,91 @@
         return acceptance;
     }
     auto place = locate(ticket.value(), forwarded);
-    acceptance.forwardTo = place.given && !forwarded ? waitSuccessor() : place.forwardTo;
-    auto entry = place.here ? m_ledgers.find(requestId) : std::nullopt;
+    acceptance.forwardTo = place.isHandedOver && !forwarded ? waitForSuccessor() : place.forwardTo;
+    auto entry = place.isLocal ? m_ledgers.find(requestId) : std::nullopt;
     if (entry) {
-        auto known = decideKnown(*entry, false);
-        acceptance.forwardTo = forwarded ? std::nullopt : known.forwardTo;
+        auto existing = decideExisting(*entry, false);
+        acceptance.forwardTo = forwarded ? std::nullopt : existing.forwardTo;
     }
     if (!acceptance.forwardTo) {
         acceptance.error = unknownOutcome("the request is not known here any more");
-        if (place.here && !entry)
+        if (place.isLocal && !entry)
             acceptance.error = RequestError { .outcome = RequestOutcome::Unknown, .httpStatus = HttpStatus::notFound, .reason = "no such request, or one too old to tell" };
         if (entry && entry->outcome == RequestOutcome::NotRun)
-            acceptance.error = refusal(HttpStatus::serviceUnavailable, "the request was refused", m_options.comeBack);
+            acceptance.error = refusal(HttpStatus::serviceUnavailable, "the request was refused", m_options.defaultRetryAfter);
     }
     return acceptance;
 }
 
-Acceptance RequestServer::find(const Caller& caller, const std::string& requestId, bool forwarded)
+Acceptance RequestServer::find(const AuthenticatedClient& client, const std::string& requestId, bool forwarded)
 {
-    auto acceptance = findAnywhere(requestId, forwarded);
-    // Another team's request looks like one that does not exist.
-    if (acceptance.request && acceptance.request->description().team != caller.team) {
+    auto acceptance = findOrLocate(requestId, forwarded);
+    // A request of another team is reported as not found, so that its existence isn't revealed.
+    if (acceptance.request && acceptance.request->description().team != client.team) {
         acceptance.request = nullptr;
         acceptance.error = refusal(HttpStatus::notFound, "no such request");
     }
     return acceptance;
 }
 
-Acceptance RequestServer::findForOperator(const std::string& requestId, bool forwarded) { return findAnywhere(requestId, forwarded); }
+Acceptance RequestServer::findForOperator(const std::string& requestId, bool forwarded) { return findOrLocate(requestId, forwarded); }
 
 // --- Plain services ---
 
-PlainAcceptance RequestServer::runPlain(const Caller& caller, PlainRequest request, const std::string& ticket, bool forwarded)
+PlainAcceptance RequestServer::runPlain(const AuthenticatedClient& client, PlainRequest request, const std::string& ticket, bool forwarded)
 {
     PlainAcceptance acceptance;
-    acceptance.error = permissionError(caller, request.service, ServiceType::Plain);
+    acceptance.error = permissionError(client, request.service, ServiceType::Plain);
     if (acceptance.error)
         return acceptance;
     request.repeatable = m_replica.state()->configuration.service(request.service)->repeatable;
     if (ticket.empty() && !request.repeatable) {
         acceptance.error = refusal(HttpStatus::preconditionRequired, "a call that may not be repeated needs a ticket");
-        acceptance.error->ticket = m_leaving ? std::string() : issueTicket(caller);
-        acceptance.error->addresses = m_leaving ? addresses(4) : std::vector<std::string>();
+        acceptance.error->ticket = m_isShuttingDown ? std::string() : issueTicket(client);
+        acceptance.error->addresses = m_isShuttingDown ? addresses(4) : std::vector<std::string>();
         return acceptance;
     }
-    std::shared_lock acceptanceLock(m_acceptance);
-    auto decision = ticket.empty() ? enterFresh(caller, false) : decideTicket(caller, ticket, request.repeatable, forwarded);
-    if (decision.given) {
+    std::shared_lock acceptanceLock(m_acceptanceMutex);
+    auto decision = ticket.empty() ? admitUnderNewTicket(client, false) : decideTicket(client, ticket, request.repeatable, forwarded);
+    if (decision.isHandedOver) {
         acceptanceLock.unlock();
-        resolveGiven(decision, forwarded);
+        resolveHandedOverTicket(decision, forwarded);
     }
-    bool afresh = decision.startAfresh;
-    if (afresh)
-        decision = enterFresh(caller, true);
+    bool runsAsNew = decision.runAsNew;
+    if (runsAsNew)
+        decision = admitUnderNewTicket(client, true);
     acceptance.error = decision.error;
     acceptance.forwardTo = decision.forwardTo;
-    acceptance.requestId = decision.known ? decision.known->requestId : decision.requestId;
+    acceptance.requestId = decision.existing ? decision.existing->requestId : decision.requestId;
     if (acceptance.error || acceptance.forwardTo)
         return acceptance;
-    if (decision.known) {
+    if (decision.existing) {
         acceptanceLock.unlock();
-        return repeatPlain(*decision.known);
+        return recordedPlainAnswer(*decision.existing);
     }
-    auto refused = suspicionError(digestOf(caller.team, request.service, request.path, request.body));
+    auto refused = suspicionError(digestOf(client.team, request.service, request.path, request.body));
     if (!refused)
-        refused = admissionError(caller);
+        refused = admissionError(client);
     if (refused) {
         m_ledgers.finish(decision.requestId, RequestOutcome::NotRun);
-        acceptance.error = afresh ? unknownOutcome(refused->reason) : *refused;
+        acceptance.error = runsAsNew ? unknownOutcome(refused->reason) : *refused;
         return acceptance;
     }
     m_retries.onRequest();
-    request.team = caller.team;
+    request.team = client.team;
     auto call = std::make_shared<PlainCall>(m_options.plain, m_directory, m_retries, m_suspects, m_metrics);
     {
         std::lock_guard lock(m_mutex);
         m_plainCalls.emplace(decision.requestId, call);
-        m_plainTraces.emplace_back(decision.requestId, TraceEntry { .wallTime = wallMilliseconds(), .node = m_options.node, .event = "accepted", .detail = "team " + caller.team + ", service " + request.service });
+        m_plainTraces.emplace_back(decision.requestId, TraceEntry { .wallTime = wallMilliseconds(), .node = m_options.node, .event = "accepted", .detail = "team " + client.team + ", service " + request.service });
     }
     acceptanceLock.unlock();
     request.id = decision.requestId;
-    acceptance.answer = runPlainHere(request, decision.requestId);
+    acceptance.answer = runPlainLocally(request, decision.requestId);
     return acceptance;
 }
 
-PlainAnswer RequestServer::runPlainHere(PlainRequest request, const std::string& requestId)
+PlainAnswer RequestServer::runPlainLocally(PlainRequest request, const std::string& requestId)
 {
     std::shared_ptr<PlainCall> call;
     {
@@ -423,21 +421,21 @@
     m_plainTraces.emplace_back(requestId, TraceEntry { .wallTime = wallMilliseconds(), .node = m_options.node, .event = toString(answer.outcome), .detail = answer.reason });
     while (m_plainTraces.size() > maximumPlainTraces)
         m_plainTraces.pop_front();
-    m_idle.notify_all();
+    m_idleCondition.notify_all();
     return answer;
 }
 
-PlainAcceptance RequestServer::repeatPlain(const LedgerEntry& known)
+PlainAcceptance RequestServer::recordedPlainAnswer(const LedgerEntry& existing)
 {
     PlainAcceptance acceptance;
-    acceptance.requestId = known.requestId;
-    auto entry = m_ledgers.waitFinished(known.requestId, m_options.requestDeadline);
+    acceptance.requestId = existing.requestId;
+    auto entry = m_ledgers.waitFinished(existing.requestId, m_options.requestDeadline);
     if (!entry || entry->outcome == RequestOutcome::Running || entry->outcome == RequestOutcome::Unknown) {
         acceptance.error = unknownOutcome("an earlier copy of the request may have run");
         return acceptance;
     }
     if (entry->outcome == RequestOutcome::NotRun) {
-        acceptance.error = refusal(HttpStatus::serviceUnavailable, "the request was refused", m_options.comeBack);
+        acceptance.error = refusal(HttpStatus::serviceUnavailable, "the request was refused", m_options.defaultRetryAfter);
         return acceptance;
     }
     acceptance.answer = PlainAnswer { .outcome = entry->outcome, .httpStatus = entry->httpStatus, .contentType = "application/json", .body = entry->body };
@@ -461,7 +459,7 @@
 {
     {
         std::lock_guard lock(m_mutex);
-        ++m_threads;
+        ++m_requestThreads;
     }
     m_table.noteStarted();
     request->setRunning(true);
@@ -470,8 +468,8 @@
         request->setRunning(false);
         m_table.noteEnded();
         std::lock_guard lock(m_mutex);
-        --m_threads;
-        m_idle.notify_all();
+        --m_requestThreads;
+        m_idleCondition.notify_all();
     }).detach();
 }
 
@@ -480,7 +478,7 @@
     m_runner.run(*request);
     auto outcome = request->answer().outcome();
     if (outcome == RequestOutcome::Running)
-        return; // Handed over.
+        return; // Another node runs the request now.
     const auto& description = request->description();
     m_ledgers.finish(description.id, outcome);
     m_metrics.increment("onyxnotch_requests_total", { { "service", description.service }, { "outcome", toString(outcome) } });
@@ -488,17 +486,17 @@
     logEvent(LogLevel::Info, "request_ended", { { "request_id", description.id }, { "service", description.service }, { "outcome", toString(outcome) }, { "tokens", request->answer().tokens() } });
 }
 
-void RequestServer::checkLeavingEndpoints()
+void RequestServer::interruptOnDrainingEndpoints()
 {
     std::map<std::string, double> transfers;
     for (const auto& it : m_table.all()) {
         auto place = it->place();
         if (place.empty() || it->answer().outcome() != RequestOutcome::Running || !m_directory.isLeaving(place.endpoint))
             continue;
-        auto& ahead = transfers[place.endpoint];
-        if (m_runner.planFor(*it, ahead).action == ReclaimAction::Stay)
+        auto& transfersAhead = transfers[place.endpoint];
+        if (m_runner.planFor(*it, transfersAhead).action == ReclaimAction::Stay)
             continue;
-        ++ahead;
+        ++transfersAhead;
         it->interrupt(Interruption::EndpointLeaving);
     }
 }
@@ -509,14 +507,14 @@
         auto now = steadyNow();
         if (book.maySend(digest, now))
             return std::nullopt;
-        return refusal(HttpStatus::serviceUnavailable, "endpoints end under this request", std::max(book.blockedLeft(digest, now), m_options.comeBack));
+        return refusal(HttpStatus::serviceUnavailable, "endpoints end under this request", std::max(book.blockedLeft(digest, now), m_options.defaultRetryAfter));
     });
 }
 
-void RequestServer::tellSuspects()
+void RequestServer::sendSuspectUpdate()
 {
     auto now = steadyNow();
-    SuspectNews news;
+    SuspectNews update;
     m_suspects.use([&](SuspectBook& book) {
         for (const auto& it : book.takeNewlyBlocked())
             logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", book.endedLives(it.request) }, { "round", static_cast<unsigned>(it.round) } });
@@ -524,26 +522,26 @@
             logEvent(LogLevel::Info, "request_cleared", { { "digest", it.text() } });
         bool isNew = book.takeHasNews();
         isNew = book.takeWorthRelaying() || isNew;
-        if (isNew || now - m_suspectsToldAt >= suspectsToldAgain)
-            news = book.relayedNews(now);
+        if (isNew || now - m_suspectsSentAt >= blockedResendPeriod)
+            update = book.relayedNews(now);
     });
-    if (news.empty())
+    if (update.empty())
         return;
-    m_suspectsToldAt = now;
+    m_suspectsSentAt = now;
     auto view = m_membership.view();
     auto others = view->usable(MemberRole::Gateway);
     std::erase_if(others, [&](const Member& it) { return it.node == view->self.node; });
     thread_local std::mt19937_64 random { std::random_device {}() };
     std::shuffle(others.begin(), others.end(), random);
-    others.resize(std::min(others.size(), suspectsFanOut));
-    // One that cannot be reached hears of it from another.
+    others.resize(std::min(others.size(), suspectUpdateFanOut));
+    // Errors are ignored: a gateway that can't be reached receives the update from another one.
     for (const auto& it : others)
-        (void)callPeer(it.peerAddress(), packMessage(MessageType::SuspectNotice, news), suspectsCall);
+        (void)callPeer(it.peerAddress(), packMessage(MessageType::SuspectNotice, update), suspectUpdateTimeout);
 }
 
-void RequestServer::hearSuspects(const SuspectNews& news)
+void RequestServer::applySuspectUpdate(const SuspectNews& update)
 {
-    m_suspects.use([&](SuspectBook& book) { book.onNews(news, steadyNow()); });
+    m_suspects.use([&](SuspectBook& book) { book.onNews(update, steadyNow()); });
 }
 
 void RequestServer::expire()
@@ -558,6 +556,4 @@
     m_metrics.set("onyxnotch_ledger_entries", static_cast<double>(m_ledgers.entryCount()));
 }
 
-// --- Leaving ---
-
 } // namespace Onyxnotch
--- a/modules/gateway/request_server.h
+++ b/modules/gateway/request_server.h
@@ -1,4 +1,5 @@
-// Accepts requests at a gateway, runs them, and moves them away when the gateway leaves. Knows nothing of HTTP towards callers.
+// Admits requests at a gateway, runs each one at most once per ticket, and hands over running requests to other gateways when this
+// one shuts down. Independent of the HTTP API for clients.
 #pragma once
 
 #include "core/timer_service.h"
@@ -13,34 +14,36 @@
 struct RequestServerOptions {
     std::string node {};
     std::uint64_t incarnation { 0 };
-    std::string instance {}; // The cloud's id of the instance that this process runs on.
+    std::string instance {}; // Cloud id of the instance that this process runs on.
     AdmissionOptions admission {};
     ModelRunnerOptions runner {};
     PlainCallOptions plain {};
     LedgerBookOptions ledgers {};
     HandoverOptions handover {};
-    double retriesPerRequest { 0.2 }; // Retries that this node allows itself, as a part of its requests.
+    double retriesPerRequest { 0.2 }; // Retry budget of this node: allowed retries per admitted request.
     double retryBurst { 10 };
-    // A model request is refused where no engine is idle and its first token is expected later than this part of the objective; 0:
-    // never. Below 1, since the estimate is too low for about half of the requests.
+    // A model request is refused if no engine is idle and its expected time to first token exceeds this fraction of the service's
+    // objective; 0 turns the check off. Less than 1, because the estimate is too low for about half of the requests.
+    // Teams with a priority above 0 are exempt.
     double timelyPart { 0.5 };
-    Milliseconds requestDeadline { 300000 }; // Where the caller names none.
-    Milliseconds retention { 60000 }; // Finished answers stay for repeats.
-    Milliseconds comeBack { 1000 }; // What refusals without a better estimate say.
-    unsigned hardMaximumActive { 3600 }; // With requests that other nodes handed over.
+    Milliseconds requestDeadline { 300000 }; // Time limit for each request.
+    Milliseconds retention { 60000 }; // How long finished answers are kept for clients that repeat or resume a request.
+    Milliseconds defaultRetryAfter { 1000 }; // Retry-After of refusals for which there is no better estimate.
+    unsigned hardMaximumActive { 3600 }; // Limit on running requests, including those that other nodes hand over.
 };
 
-// Who asks.
-struct Caller {
+// The team that a client's API key belongs to, with the team's limits and permissions.
+struct AuthenticatedClient {
     std::string team {};
     double requestsPerSecond { 0 };
     int priority { 0 };
     Selector services {};
 
-    bool operator==(const Caller&) const = default;
+    bool operator==(const AuthenticatedClient&) const = default;
 };
 
-// What became of a caller's request at this node. Exactly one of the first three is set.
+// How this node handles a client's model request: it runs here, has to be forwarded to another node, or is refused. Exactly one of
+// `request`, `forwardTo` and `error` is set.
 struct Acceptance {
     std::shared_ptr<ActiveRequest> request {};
     std::optional<Member> forwardTo {};
@@ -48,6 +51,7 @@
     std::string requestId {};
 };
 
+// Result of a call to a plain service. Exactly one of `answer`, `forwardTo` and `error` is set.
 struct PlainAcceptance {
     std::optional<PlainAnswer> answer {};
     std::optional<Member> forwardTo {};
@@ -64,80 +68,83 @@
 
     void start();
 
-    // `ticket` is empty where the caller has none. `forwarded` says that another gateway sent it here.
-    Acceptance acceptModel(const Caller&, const struct ChatRequest&, const std::string& ticket, bool forwarded);
-    // Blocks until the call has its outcome.
-    PlainAcceptance runPlain(const Caller&, PlainRequest, const std::string& ticket, bool forwarded);
-    // The request of that id, which must be the caller's.
-    Acceptance find(const Caller&, const std::string& requestId, bool forwarded);
-    // Where a request of any team is or was; for operators.
+    // Admits a model request and starts it on its own thread. `ticket` is empty if the client sent none. `forwarded`: another gateway
+    // sent the request here, so it isn't forwarded again.
+    Acceptance acceptModel(const AuthenticatedClient&, const struct ChatRequest&, const std::string& ticket, bool forwarded);
+    // Runs a call to a plain service; blocks until its outcome is known. `ticket` and `forwarded` as for acceptModel().
+    PlainAcceptance runPlain(const AuthenticatedClient&, PlainRequest, const std::string& ticket, bool forwarded);
+    // Finds the request with this id, or the node that has it. A request of another team is reported as not found.
+    Acceptance find(const AuthenticatedClient&, const std::string& requestId, bool forwarded);
+    // Same as find(), but for a request of any team; for operators.
     Acceptance findForOperator(const std::string& requestId, bool forwarded);
-    std::string issueTicket(const Caller&);
-    // Addresses of gateways that take requests, some of other zones among them; at most `count`.
+    std::string issueTicket(const AuthenticatedClient&);
+    // HTTP addresses of up to `count` randomly chosen gateways that accept requests, spread over the availability zones.
     std::vector<std::string> addresses(std::size_t count) const;
 
-    // Serves the peer messages of handovers. Empty for messages of other kinds.
+    // Handles peer messages about handovers and suspected requests; returns the reply, or nothing for other message types.
     std::optional<Frame> handlePeerFrame(const Frame&);
 
-    // Takes nothing new any more, and gives the ledgers away. Returns at once where it has begun already.
-    void beginLeaving(SteadyTime deadline);
-    // Gives all running requests away; calls to plain services get until shortly before the deadline.
+    // Stops admitting requests, announces the shutdown to the other nodes, and hands over the ledgers before `deadline`. Does nothing
+    // if the shutdown has already begun.
+    void beginShutdown(SteadyTime deadline);
+    // Hands over all running model requests. Calls to plain services can't be moved: they may finish until shortly before `deadline`.
     void handOver(SteadyTime deadline);
-    // Returns whether everything has ended within the limit, or `interrupted` said to stop waiting.
-    bool waitIdle(Milliseconds limit, const std::function<bool()>& interrupted = {});
-    bool leaving() const { return m_leaving; }
-    // What a caller is told whose request to the service has not run: where all its endpoints rest, not before the first is back.
-    Milliseconds comeBackTo(const std::string& service) const { return std::max(m_directory.firstBack(service), m_options.comeBack); }
+    // Waits until no request is running. Returns false if `limit` expires or `interrupted` returns true before that.
+    bool waitUntilIdle(Milliseconds limit, const std::function<bool()>& interrupted = {});
+    bool isShuttingDown() const { return m_isShuttingDown; }
+    // Retry-After for a request to `service` that was not executed: at least until the first endpoint is available, if all of the
+    // service's endpoints are in backoff.
+    Milliseconds retryAfterFor(const std::string& service) const { return std::max(m_directory.firstBack(service), m_options.defaultRetryAfter); }
     std::size_t runningCount() const { return m_table.runningCount(); }
     std::size_t ledgerEntries() const { return m_ledgers.entryCount(); }
-    // Where a request that has moved away is now; empty where that is not known.
-    std::vector<std::string> movedTo(const std::string& requestId) const;
+    // HTTP addresses of the node to which a request was handed over; empty if not known.
+    std::vector<std::string> newAddressesOf(const std::string& requestId) const;
     std::vector<TraceEntry> plainTrace(const std::string& requestId) const;
 
 private:
-    // Where a ticket's request must be asked for.
-    struct TicketPlace {
-        bool here { false };
-        bool given { false }; // The ledger is being given just now, or has been.
-        std::optional<Member> forwardTo {}; // Where it is elsewhere. None of the three: nobody can tell.
+    // Which node has the ledger entry of a ticket. If no member is set, that node is unknown or unreachable.
+    struct TicketLocation {
+        bool isLocal { false };
+        bool isHandedOver { false }; // This node's ledger is being handed over, or has been.
+        std::optional<Member> forwardTo {}; // The other node that has the ledger entry.
     };
 
-    // What admission decided about a ticket that is answered for here.
+    // How a request with a given ticket is to be handled.
     struct TicketDecision {
-        std::string requestId {}; // Set where the request is to be run.
-        std::optional<LedgerEntry> known {};
+        std::string requestId {}; // Set if the request is to be run here; equals the ticket.
+        std::optional<LedgerEntry> existing {}; // Set if the request was admitted before: its ledger entry.
         std::optional<Member> forwardTo {};
         std::optional<RequestError> error {};
-        bool given { false }; // To be asked for at the successor.
-        bool startAfresh { false }; // Nobody can tell what became of it, but it may be repeated.
+        bool isHandedOver { false }; // The ledger was handed over: forward to the successor.
+        bool runAsNew { false }; // The outcome of the ticket's request is unknown, but the service allows repeats: run under a new ticket.
     };
 
-    TicketPlace locate(const Ticket&, bool forwarded) const;
-    TicketDecision decideTicket(const Caller&, const std::string& ticket, bool repeatable, bool forwarded);
-    TicketDecision decideHere(const Caller&, const Ticket&, bool repeatable);
-    TicketDecision decideKnown(const LedgerEntry&, bool repeatable);
-    TicketDecision enterFresh(const Caller&, bool mayHaveRunElsewhere);
-    std::optional<RequestError> admissionError(const Caller&);
-    // A request that would be late for its service's objective, as far as can be told, is refused now and not later.
-    std::optional<RequestError> latenessError(const Caller&, const struct ChatRequest&) const;
-    std::optional<RequestError> permissionError(const Caller&, const std::string& service, ServiceType) const;
-    // Waits for the successor of a ledger that is being given. Must be called without the acceptance lock.
-    std::optional<Member> waitSuccessor() const;
-    void resolveGiven(TicketDecision&, bool forwarded) const;
-    Acceptance findAnywhere(const std::string& requestId, bool forwarded);
-    PlainAnswer runPlainHere(PlainRequest, const std::string& requestId);
-    PlainAcceptance repeatPlain(const LedgerEntry&);
+    TicketLocation locate(const Ticket&, bool forwarded) const;
+    TicketDecision decideTicket(const AuthenticatedClient&, const std::string& ticket, bool repeatable, bool forwarded);
+    TicketDecision decideLocalTicket(const AuthenticatedClient&, const Ticket&, bool repeatable);
+    TicketDecision decideExisting(const LedgerEntry&, bool repeatable);
+    TicketDecision admitUnderNewTicket(const AuthenticatedClient&, bool mayHaveRunElsewhere);
+    std::optional<RequestError> admissionError(const AuthenticatedClient&);
+    // Refuses a model request early if it is expected to miss its service's objective for the first token.
+    std::optional<RequestError> latenessError(const AuthenticatedClient&, const struct ChatRequest&) const;
+    std::optional<RequestError> permissionError(const AuthenticatedClient&, const std::string& service, ServiceType) const;
+    // Waits for the successor of a ledger that is being handed over. Must be called without holding the acceptance lock.
+    std::optional<Member> waitForSuccessor() const;
+    void resolveHandedOverTicket(TicketDecision&, bool forwarded) const;
+    Acceptance findOrLocate(const std::string& requestId, bool forwarded);
+    PlainAnswer runPlainLocally(PlainRequest, const std::string& requestId);
+    PlainAcceptance recordedPlainAnswer(const LedgerEntry&);
 
     void startThread(const std::shared_ptr<ActiveRequest>&);
     void runRequest(const std::shared_ptr<ActiveRequest>&);
-    HandoverReplyMessage adopt(const RequestBatchMessage&);
-    void checkLeavingEndpoints();
+    HandoverReplyMessage adoptRequests(const RequestBatchMessage&);
+    void interruptOnDrainingEndpoints();
     void expire();
-    // Tells some other gateways what this one knows of requests under which endpoints end; they tell it on.
-    void tellSuspects();
-    void hearSuspects(const SuspectNews&);
+    // Sends this gateway's knowledge about suspected requests (during which endpoints crashed) to a few other gateways, which relay it.
+    void sendSuspectUpdate();
+    void applySuspectUpdate(const SuspectNews&);
     std::optional<RequestError> suspicionError(const RequestDigest&);
-    void giveUpPlainCalls();
+    void abandonPlainCalls();
 
     RequestServerOptions m_options;
     const StateReplica& m_replica;
@@ -148,20 +155,20 @@
     AdmissionControl m_admission;
     RetryBudget m_retries;
     SharedSuspects m_suspects;
-    SteadyTime m_suspectsToldAt {}; // Of the timer's callback alone.
+    SteadyTime m_suspectsSentAt {}; // Accessed only by the timer callback.
     ModelRunner m_runner;
     LedgerBook m_ledgers;
     RequestTable m_table;
     Handover m_handover;
-    std::atomic<bool> m_leaving { false };
-    // Shared from a ticket's admission until its request is in the table, alone while the ledgers are marked as given: so that the
-    // handover sees every request that was admitted.
-    std::shared_mutex m_acceptance;
+    std::atomic<bool> m_isShuttingDown { false };
+    // Locked shared from a ticket's admission until its request is in the table. handOver() locks it exclusively once, after the
+    // ledgers were marked as handed over, so that it sees every request that was admitted before.
+    std::shared_mutex m_acceptanceMutex;
     mutable std::mutex m_mutex;
-    std::condition_variable m_idle;
-    unsigned m_threads { 0 };
+    std::condition_variable m_idleCondition;
+    unsigned m_requestThreads { 0 };
     std::map<std::string, std::shared_ptr<PlainCall>> m_plainCalls {};
-    std::map<std::string, std::vector<std::string>> m_movedTo {};
+    std::map<std::string, std::vector<std::string>> m_newAddresses {};
     std::deque<std::pair<std::string, TraceEntry>> m_plainTraces {};
     std::vector<TimerService::Subscription> m_subscriptions {};
 };
--- a/modules/gateway/request_server_leaving.cpp
+++ b/modules/gateway/request_server_shutdown.cpp
@@ -1,4 +1,4 @@
-// How a request server leaves, and how it takes over what a leaving one gives it.
+// RequestServer methods for shutting down, and for taking over ledgers and requests from a gateway that shuts down.
 #include "core/log.h"
 #include "modules/gateway/request_server.h"
 #include <algorithm>
@@ -9,13 +9,14 @@
 namespace {
 
     constexpr std::size_t maximumMovedEntries = 20000;
-    constexpr Milliseconds lastMessagesTime { 400 };
+    // Part of the time before the deadline that is reserved for the last messages to the successor.
+    constexpr Milliseconds finalMessageReserve { 400 };
 
 } // namespace
 
-void RequestServer::beginLeaving(SteadyTime deadline)
+void RequestServer::beginShutdown(SteadyTime deadline)
 {
-    if (m_leaving.exchange(true))
+    if (m_isShuttingDown.exchange(true))
         return;
     m_membership.announceLeaving();
     m_handover.giveLedgers(deadline);
@@ -24,43 +25,43 @@
 void RequestServer::handOver(SteadyTime deadline)
 {
     {
-        // Requests that were admitted before the ledgers were given get into the table first.
-        std::unique_lock acceptanceLock(m_acceptance);
+        // Waits until every request that was admitted before the ledgers were handed over is in the table.
+        std::unique_lock acceptanceLock(m_acceptanceMutex);
     }
     auto requests = m_table.all();
     std::erase_if(requests, [](const auto& it) { return it->answer().outcome() == RequestOutcome::NotRun; });
-    auto moved = [this](const std::shared_ptr<ActiveRequest>& request, const Member& target) {
+    auto onMoved = [this](const std::shared_ptr<ActiveRequest>& request, const Member& target) {
         const auto& id = request->description().id;
         {
             std::lock_guard lock(m_mutex);
-            if (m_movedTo.size() < maximumMovedEntries)
-                m_movedTo[id] = { target.httpAddress().text() };
+            if (m_newAddresses.size() < maximumMovedEntries)
+                m_newAddresses[id] = { target.httpAddress().text() };
         }
         m_ledgers.setHolder(id, target.node, target.incarnation);
     };
-    auto left = [this](const std::shared_ptr<ActiveRequest>& request) {
+    auto onNotMoved = [this](const std::shared_ptr<ActiveRequest>& request) {
         request->clearInterruption();
         request->answer().clearMoved();
         if (request->answer().outcome() == RequestOutcome::Running)
             startThread(request);
     };
-    m_handover.giveRequests(requests, deadline, moved, left);
-    // A call to a plain service cannot be moved: it gets the time that is left.
-    auto lastMoment = deadline - lastMessagesTime;
+    m_handover.giveRequests(requests, deadline, onMoved, onNotMoved);
+    // Calls to plain services can't be moved: they may use the remaining time.
+    auto plainCallDeadline = deadline - finalMessageReserve;
     std::unique_lock lock(m_mutex);
-    m_idle.wait_until(lock, lastMoment, [this] { return m_plainCalls.empty(); });
+    m_idleCondition.wait_until(lock, plainCallDeadline, [this] { return m_plainCalls.empty(); });
     lock.unlock();
-    giveUpPlainCalls();
+    abandonPlainCalls();
 }
 
-void RequestServer::giveUpPlainCalls()
+void RequestServer::abandonPlainCalls()
 {
     std::lock_guard lock(m_mutex);
     for (const auto& [id, call] : m_plainCalls)
         call->giveUp();
 }
 
-bool RequestServer::waitIdle(Milliseconds limit, const std::function<bool()>& interrupted)
+bool RequestServer::waitUntilIdle(Milliseconds limit, const std::function<bool()>& interrupted)
 {
     static constexpr Milliseconds poll { 50 };
     auto deadline = steadyNow() + limit;
@@ -72,16 +73,16 @@
     return true;
 }
 
-std::vector<std::string> RequestServer::movedTo(const std::string& requestId) const
+std::vector<std::string> RequestServer::newAddressesOf(const std::string& requestId) const
 {
     std::lock_guard lock(m_mutex);
-    auto it = m_movedTo.find(requestId);
-    return it == m_movedTo.end() ? std::vector<std::string>() : it->second;
+    auto it = m_newAddresses.find(requestId);
+    return it == m_newAddresses.end() ? std::vector<std::string>() : it->second;
 }
 
-HandoverReplyMessage RequestServer::adopt(const RequestBatchMessage& batch)
+HandoverReplyMessage RequestServer::adoptRequests(const RequestBatchMessage& batch)
 {
-    if (m_leaving)
+    if (m_isShuttingDown)
         return { .accepted = false, .reason = "this node is leaving itself" };
     if (m_table.runningCount() + batch.requests.size() > m_options.hardMaximumActive)
         return { .accepted = false, .reason = "this node runs as many requests as it may" };
@@ -103,10 +104,10 @@
     auto malformed = [](const Error& error) { return Frame { .type = MessageType::Error, .payload = error.message }; };
     HandoverReplyMessage reply;
     if (frame.type == MessageType::SuspectNotice) {
-        auto news = unpackMessage<SuspectNews>(frame.type, frame);
-        if (!news)
-            return malformed(news.error());
-        hearSuspects(news.value());
+        auto suspectUpdate = unpackMessage<SuspectNews>(frame.type, frame);
+        if (!suspectUpdate)
+            return malformed(suspectUpdate.error());
+        applySuspectUpdate(suspectUpdate.value());
         reply.accepted = true;
         return packMessage(MessageType::HandoverReply, reply);
     }
@@ -114,15 +115,15 @@
         auto offer = unpackMessage<LedgerOfferMessage>(frame.type, frame);
         if (!offer)
             return malformed(offer.error());
-        std::shared_lock acceptanceLock(m_acceptance);
-        reply.accepted = !m_leaving;
-        reply.reason = m_leaving ? "this node is leaving itself" : "";
+        std::shared_lock acceptanceLock(m_acceptanceMutex);
+        reply.accepted = !m_isShuttingDown;
+        reply.reason = m_isShuttingDown ? "this node is leaving itself" : "";
         if (reply.accepted) {
             auto adopted = m_ledgers.adopt(offer.value());
             reply.accepted = adopted.has_value();
             reply.reason = adopted ? std::string() : adopted.error().message;
         }
-        // The receiver knows for certain that it has the ledger, so it says so as well.
+        // The sender announces the succession too, but may never get this reply; the receiver knows for certain that it has the ledger.
         if (reply.accepted)
             m_membership.announceSuccession({ .fromNode = offer.value().homeNode, .fromIncarnation = offer.value().homeIncarnation, .toNode = m_options.node, .toIncarnation = m_options.incarnation, .generation = offer.value().generation });
         return packMessage(MessageType::HandoverReply, reply);
@@ -131,7 +132,7 @@
         auto batch = unpackMessage<RequestBatchMessage>(frame.type, frame);
         if (!batch)
             return malformed(batch.error());
-        return packMessage(MessageType::HandoverReply, adopt(batch.value()));
+        return packMessage(MessageType::HandoverReply, adoptRequests(batch.value()));
     }
     if (frame.type == MessageType::LedgerUpdate) {
         auto update = unpackMessage<LedgerUpdateMessage>(frame.type, frame);
