--- a/modules/placement/controller.cpp
+++ b/modules/placement/controller.cpp
@@ -54,7 +54,7 @@
 void Controller::runUntilStopped(StopSignal& signal)
 {
     while (!signal.waitFor(m_options.period))
-        round();
+        runRound();
     logEvent(LogLevel::Info, "controller_stopping");
     m_node.membership().announceLeaving();
     m_planLease.release();
@@ -67,44 +67,44 @@
     auto view = m_node.membership().view();
     auto rank = [&](const Member& member) { return fastHash(member.node + "|" + lease); };
     auto own = rank(view->self);
-    unsigned before = 0;
+    unsigned higherRanked = 0;
     for (const auto& it : view->usable(MemberRole::Controller))
-        before += rank(it) < own ? 1 : 0;
-    return before < m_options.candidatesPerLease;
+        higherRanked += rank(it) < own ? 1 : 0;
+    return higherRanked < m_options.candidatesPerLease;
 }
 
-void Controller::round()
+void Controller::runRound()
 {
-    unsigned held = 0;
-    auto note = [](const char* what, const Status& status) {
+    unsigned heldCount = 0;
+    auto logFailure = [](const char* what, const Status& status) {
         if (!status)
             logEvent(LogLevel::Warning, "controller_step_failed", { { "step", what }, { "error", status.error().message } });
     };
     if (m_planLease.step(isCandidate(planLeaseName))) {
-        ++held;
-        note("plan", plan());
-        note("compact", compactConfiguration());
+        ++heldCount;
+        logFailure("plan", plan());
+        logFailure("compact", compactConfiguration());
     } else {
         m_planVersion = 0;
     }
-    note("zones", runZones());
+    logFailure("zones", runZones());
     for (const auto& [name, zone] : m_zones)
-        held += zone.held ? 1 : 0;
-    m_heldLeases = held;
-    m_node.metrics().set("onyxnotch_leases_held", held);
+        heldCount += zone.isHeld ? 1 : 0;
+    m_heldLeases = heldCount;
+    m_node.metrics().set("onyxnotch_leases_held", heldCount);
 }
 
-std::set<Offer> Controller::recentRefusals(const std::map<std::string, SlotStatus>& status)
+std::set<Offer> Controller::recentlyRefusedOffers(const std::map<std::string, SlotStatus>& status)
 {
     auto now = steadyNow();
     for (const auto& [id, it] : status) {
         bool isNew = it.state == SlotState::Refused && it.retiredAt == 0;
         if (isNew)
-            m_refusals[it.slot.offer] = now;
+            m_refusedAt[it.slot.offer] = now;
     }
-    std::erase_if(m_refusals, [&](const auto& it) { return now - it.second > m_options.refusalMemory; });
+    std::erase_if(m_refusedAt, [&](const auto& it) { return now - it.second > m_options.refusalMemory; });
     std::set<Offer> offers;
-    for (const auto& [offer, when] : m_refusals)
+    for (const auto& [offer, refusedAt] : m_refusedAt)
         offers.insert(offer);
     return offers;
 }
@@ -128,8 +128,8 @@
         for (const auto& it : slots)
             input.status.emplace(it.slot.id, it);
     }
-    input.refusedOffers = recentRefusals(input.status);
-    // A planner that is behind with the configuration must not undo what a newer one did.
+    input.refusedOffers = recentlyRefusedOffers(input.status);
+    // A planner with an older configuration must not overwrite a plan that was made with a newer one.
     if (input.configuration.version() < m_plan.configurationVersion || input.configuration.version() == 0)
         return success();
     auto next = planPlacement(input);
@@ -149,7 +149,7 @@
     return success();
 }
 
-Controller::Zone& Controller::zoneOf(const std::string& name)
+Controller::Zone& Controller::findOrCreateZone(const std::string& name)
 {
     auto it = m_zones.find(name);
     if (it != m_zones.end())
@@ -174,16 +174,16 @@
         names.insert(it.zone);
     std::optional<PlacementPlan> current;
     for (const auto& name : names) {
-        auto& zone = zoneOf(name);
-        bool held = zone.lease->step(isCandidate("zone-" + name));
-        if (held && !zone.held) {
-            // What an earlier holder has done is only known from what it stored.
+        auto& zone = findOrCreateZone(name);
+        bool isHeld = zone.lease->step(isCandidate("zone-" + name));
+        if (isHeld && !zone.isHeld) {
+            // A new ZoneController loads the stored status, which may have been changed by an earlier holder of the lease.
             auto options = m_options.zone;
             options.zone = name;
             zone.controller = std::make_unique<ZoneController>(options, m_node.objects(), m_node.cloud(), m_node.membership(), m_node.metrics());
         }
-        zone.held = held;
-        if (!held)
+        zone.isHeld = isHeld;
+        if (!isHeld)
             continue;
         if (!current) {
             BOOST_OUTCOME_TRY(stored, m_node.objects().get(std::string(planKey)));
@@ -202,9 +202,9 @@
 Status Controller::compactConfiguration()
 {
     auto configuration = m_node.replica().state()->configuration;
-    if (configuration.version() < m_compactedVersion + m_options.compactEvery)
+    if (configuration.version() < m_compactedVersion + m_options.compactionInterval)
         return success();
-    BOOST_OUTCOME_TRYV(ConfigurationStore(m_node.objects()).compact(configuration, m_options.keptChanges));
+    BOOST_OUTCOME_TRYV(ConfigurationStore(m_node.objects()).compact(configuration, m_options.retainedChanges));
     m_compactedVersion = configuration.version();
     return success();
 }
--- a/modules/placement/controller.h
+++ b/modules/placement/controller.h
@@ -1,4 +1,5 @@
-// A whole controller: what onyxnotch-controller runs. Any number of them compete for the leases.
+// The controller process (onyxnotch-controller): plans the placement of model engines and starts and ends their instances. Each zone,
+// and the plan itself, is handled by the one controller that holds its lease; any number of controllers compete for the leases.
 #pragma once
 
 #include "core/net/http_server.h"
@@ -13,12 +14,12 @@
     NodeOptions node {};
     HttpServerOptions http {};
     LeaseOptions lease {};
-    ZoneControllerOptions zone {}; // `zone` is filled in for each zone.
-    Milliseconds period { 500 }; // Between rounds.
-    Milliseconds refusalMemory { 30000 }; // How long an offer that was refused is not planned again.
-    unsigned candidatesPerLease { 3 }; // Nodes that compete for one lease, so that its reads do not grow with the fleet.
-    std::uint64_t keptChanges { 1000 }; // Of the configuration's history, when it is compacted.
-    std::uint64_t compactEvery { 200 }; // Versions.
+    ZoneControllerOptions zone {}; // Template for every zone; the controller fills in the member `zone`.
+    Milliseconds period { 500 }; // Interval between two rounds of lease renewal, planning and reconciling.
+    Milliseconds refusalMemory { 30000 }; // How long an offer is not planned again after the cloud refused it for lack of capacity.
+    unsigned candidatesPerLease { 3 }; // Number of controllers that compete for each lease; limits its reads at the object service.
+    std::uint64_t retainedChanges { 1000 }; // Number of configuration changes that remain in the store after a compaction.
+    std::uint64_t compactionInterval { 200 }; // Number of new configuration versions between two compactions.
 };
 
 class Controller {
@@ -29,28 +30,28 @@
     Controller& operator=(const Controller&) = delete;
 
     Status start();
-    // Runs until a stop signal; releases the leases.
+    // Blocks until a stop signal arrives, then releases the held leases.
     void runUntilStopped(StopSignal&);
 
     Address httpAddress() const { return m_http.address(); }
     Address peerAddress() const { return m_node.peerAddress(); }
 
 private:
-    // A zone's lease and what is done under it.
+    // The lease of an availability zone, and the controller that acts for the zone while this process holds the lease.
     struct Zone {
         std::unique_ptr<LeaseKeeper> lease;
         std::unique_ptr<ZoneController> controller;
-        bool held { false };
+        bool isHeld { false };
     };
 
     void addRoutes();
-    void round();
+    void runRound();
     bool isCandidate(const std::string& lease);
     Status plan();
     Status runZones();
     Status compactConfiguration();
-    Zone& zoneOf(const std::string& name);
-    std::set<Offer> recentRefusals(const std::map<std::string, SlotStatus>&);
+    Zone& findOrCreateZone(const std::string& name);
+    std::set<Offer> recentlyRefusedOffers(const std::map<std::string, SlotStatus>&);
 
     ControllerOptions m_options;
     Node m_node;
@@ -58,7 +59,7 @@
     LeaseKeeper m_planLease;
     std::map<std::string, Zone> m_zones {};
     std::vector<Offer> m_offers {};
-    std::map<Offer, SteadyTime> m_refusals {};
+    std::map<Offer, SteadyTime> m_refusedAt {};
     PlacementPlan m_plan;
     std::uint64_t m_planVersion { 0 };
     std::uint64_t m_compactedVersion { 0 };
--- a/modules/placement/lease.cpp
+++ b/modules/placement/lease.cpp
@@ -44,22 +44,22 @@
 
 void LeaseMachine::observe(const std::optional<LeaseRecord>& record, std::uint64_t version, SteadyTime readSentAt, SteadyTime now)
 {
-    bool changed = !m_observed || version != m_version || record.has_value() != m_record.has_value();
-    if (changed)
+    bool hasChanged = !m_observed || version != m_version || record.has_value() != m_record.has_value();
+    if (hasChanged)
         m_unchangedSince = now;
     m_observed = true;
     m_record = record;
     m_version = version;
-    bool ours = record && record->holder == m_self;
-    if (!ours) {
+    bool isOwn = record && record->holder == m_self;
+    if (!isOwn) {
         m_held = false;
         return;
     }
-    // A write of ours whose answer was lost: it was carried out some time before this read was sent, we cannot tell when, so only
-    // the next renewal counts.
+    // The lease was acquired by a write of this process whose answer was lost. The write took effect at an unknown time before this read
+    // was sent, so the lease isn't considered held until the next renewal succeeds.
     if (!m_held) {
         m_fence = record->fence;
-        m_takenAt = readSentAt;
+        m_acquiredAt = readSentAt;
     }
 }
 
@@ -70,21 +70,21 @@
     if (!m_record)
         return LeaseWrite { .kind = LeaseWriteKind::Create, .version = 0, .record = { .holder = m_self, .fence = 1, .renewals = 0, .life = m_options.life } };
     LeaseWrite write { .kind = LeaseWriteKind::Update, .version = m_version, .record = *m_record };
-    bool ours = m_record->holder == m_self;
-    // Others may have been told that the fence is free: it is not used again.
-    bool gaveUp = ours && m_record->fence <= m_gaveUpFence;
-    if (ours && !gaveUp) {
-        bool due = !m_held || now - m_renewedAt >= m_options.renewEvery;
-        if (!due)
+    bool isOwn = m_record->holder == m_self;
+    // Other nodes may have been notified that this process resigned from the fence, so it isn't used again.
+    bool hasResigned = isOwn && m_record->fence <= m_ownResignedFence;
+    if (isOwn && !hasResigned) {
+        bool isRenewalDue = !m_held || now - m_renewedAt >= m_options.renewEvery;
+        if (!isRenewalDue)
             return std::nullopt;
         ++write.record.renewals;
         write.record.life = m_options.life;
         return write;
     }
-    bool left = m_record->holder == m_formerHolder && m_record->life == m_formerLife && m_record->fence <= m_formerFence;
-    bool released = m_record->holder.empty() || left || gaveUp;
-    bool lapsed = now - m_unchangedSince >= scaled(m_options.duration, 1 + m_options.clockRateBound);
-    if (!released && !lapsed)
+    bool holderResigned = m_record->holder == m_resignedHolder && m_record->life == m_resignedIncarnation && m_record->fence <= m_resignedFence;
+    bool isReleased = m_record->holder.empty() || holderResigned || hasResigned;
+    bool hasExpired = now - m_unchangedSince >= scaled(m_options.duration, 1 + m_options.clockRateBound);
+    if (!isReleased && !hasExpired)
         return std::nullopt;
     write.record = { .holder = m_self, .fence = m_record->fence + 1, .renewals = 0, .life = m_options.life, .note = m_record->note };
     return write;
@@ -103,7 +103,7 @@
 void LeaseMachine::written(const LeaseWrite& write, std::uint64_t newVersion, SteadyTime sentAt)
 {
     if (!m_held || write.record.fence != m_fence)
-        m_takenAt = sentAt;
+        m_acquiredAt = sentAt;
     m_record = write.record;
     m_version = newVersion;
     m_fence = write.record.fence;
@@ -115,14 +115,14 @@
 void LeaseMachine::giveUp()
 {
     m_held = false;
-    m_gaveUpFence = m_fence;
+    m_ownResignedFence = m_fence;
 }
 
 void LeaseMachine::holderGaveUp(const std::string& holder, std::uint64_t life, std::uint64_t fence)
 {
-    m_formerHolder = holder;
-    m_formerLife = life;
-    m_formerFence = fence;
+    m_resignedHolder = holder;
+    m_resignedIncarnation = life;
+    m_resignedFence = fence;
 }
 
 void LeaseMachine::forget() { m_observed = false; }
--- a/modules/placement/lease.h
+++ b/modules/placement/lease.h
@@ -1,5 +1,6 @@
-// A lease kept as an object of the platform's service. The decisions are a pure state machine; the time is passed in, and only
-// this process's own monotonic clock is ever looked at.
+// State machine of a lease that is stored as an object in the platform's object service. Decides when to write what; does no I/O
+// (LeaseKeeper does). Not thread-safe. Times are passed in and come from this process's monotonic clock only, so the nodes' clocks need
+// not be synchronized.
 #pragma once
 
 #include "core/clock.h"
@@ -11,13 +12,13 @@
 
 namespace Onyxnotch {
 
-// The stored value of a lease.
+// The value of a lease object in the object service.
 struct LeaseRecord {
-    std::string holder {}; // Empty where it has been released.
-    std::uint64_t fence { 0 }; // Rises by one with each new holder; orders carry it.
-    std::uint64_t renewals { 0 };
-    std::uint64_t life { 0 }; // Of the process that wrote it; 0 where the holder tells none.
-    std::string note {}; // What holders have decided and later ones must keep to; passed on from holder to holder.
+    std::string holder {}; // Name of the holding process; empty if the lease has been released.
+    std::uint64_t fence { 0 }; // Fencing token: rises by one with each acquisition. Orders carry it, so that receivers can refuse orders of earlier holders.
+    std::uint64_t renewals { 0 }; // Number of renewals since the acquisition.
+    std::uint64_t life { 0 }; // Incarnation (process start) of the holder; 0 if the holder doesn't state one.
+    std::string note {}; // Decisions of holders that later holders must keep to; copied when the lease changes hands.
 
     auto operator<=>(const LeaseRecord&) const = default;
 };
@@ -28,9 +29,10 @@
 struct LeaseOptions {
     Milliseconds duration { 10000 };
     Milliseconds renewEvery { 3000 };
-    // Others' clocks may run this much faster than ours, as a part; a holder stops that much early and a taker waits that much longer.
+    // Largest assumed difference between clock rates, as a fraction. A holder stops this fraction of `duration` early, and another node
+    // waits this fraction longer before it acquires an expired lease.
     double clockRateBound { 0.05 };
-    std::uint64_t life { 0 }; // Of this process: another one at each start.
+    std::uint64_t life { 0 }; // Incarnation of this process: a different number at each start.
 
     auto operator<=>(const LeaseOptions&) const = default;
 };
@@ -40,10 +42,10 @@
     Update,
 };
 
-// A conditional write that the machine wants.
+// A conditional write that is to be sent to the object service.
 struct LeaseWrite {
     LeaseWriteKind kind { LeaseWriteKind::Update };
-    std::uint64_t version { 0 }; // Of the value that it replaces.
+    std::uint64_t version { 0 }; // Version of the object that this write replaces; the write fails if the object has another version. Unused for Create.
     LeaseRecord record {};
 
     auto operator<=>(const LeaseWrite&) const = default;
@@ -55,29 +57,31 @@
 
     auto operator<=>(const LeaseMachine&) const = default;
 
-    // The lease was read: `record` is empty where the object does not exist.
+    // Reports that the lease was read. `record` is empty if the object doesn't exist; `readSentAt` is when the read was sent.
     void observe(const std::optional<LeaseRecord>& record, std::uint64_t version, SteadyTime readSentAt, SteadyTime now);
-    // What to write now, if anything. Needs an observation first.
+    // Returns the write that is due now: an acquisition or a renewal. Empty if none is due, or before the first observe().
     std::optional<LeaseWrite> next(SteadyTime now) const;
-    // A renewal that is due at once, with another note. Empty where the lease is not held.
+    // Returns a renewal that stores `note`, regardless of when the next renewal is due. Empty if the lease isn't held.
     std::optional<LeaseWrite> nextWithNote(const std::string& note, SteadyTime now) const;
-    // The write was carried out. The lease counts from before it was sent.
+    // Reports that a write succeeded. The lease duration is counted from `sentAt`, when the write was sent.
     void written(const LeaseWrite&, std::uint64_t newVersion, SteadyTime sentAt);
-    // This process does nothing more under its fence, and tells others so: it takes the lease anew, under a higher one, if at all.
+    // Resigns: this process never acts under its current fence again, even if the stored lease still names it as the holder, and can only
+    // acquire the lease again with a higher fence. The caller announces this to other nodes; see holderGaveUp().
     void giveUp();
-    // A holder says itself that it holds the lease under this fence no more, and sends nothing under it: nobody need wait until it lapses.
-    // Only as long as the lease is as that life of the holder wrote it; a renewal makes the write that takes it fail.
+    // Reports that the holder announced that it no longer acts under `fence`, so that the lease can be acquired before it expires.
+    // Applies only if the last read record was written by the same holder and incarnation, with at most this fence. If the holder renews
+    // the lease after that read, the conditional write of the acquisition fails.
     void holderGaveUp(const std::string& holder, std::uint64_t life, std::uint64_t fence);
-    // The write failed or its answer was lost: the lease must be read before the next write.
+    // Reports that a write failed or that its answer was lost: the lease must be read again before the next write.
     void forget();
 
     bool holds(SteadyTime now) const;
-    // Of the lease; zero where it is not held.
+    // Remaining time for which this process may act as the holder; zero if the lease isn't held.
     Milliseconds left(SteadyTime now) const;
     std::uint64_t fence() const { return m_fence; }
     std::string note() const { return m_record ? m_record->note : std::string(); }
-    // When the lease came to this process.
-    SteadyTime takenAt() const { return m_takenAt; }
+    // When this process acquired the lease.
+    SteadyTime acquiredAt() const { return m_acquiredAt; }
 
 private:
     std::string m_self {};
@@ -85,15 +89,15 @@
     bool m_observed { false };
     std::optional<LeaseRecord> m_record {};
     std::uint64_t m_version { 0 };
-    SteadyTime m_unchangedSince {}; // When this version was first read.
-    SteadyTime m_renewedAt {}; // When the last successful write of ours was sent.
-    SteadyTime m_takenAt {};
+    SteadyTime m_unchangedSince {}; // When the current version was first read.
+    SteadyTime m_renewedAt {}; // When the last successful write of this process was sent.
+    SteadyTime m_acquiredAt {};
     std::uint64_t m_fence { 0 };
     bool m_held { false };
-    std::string m_formerHolder {}; // Has given the lease up,
-    std::uint64_t m_formerLife { 0 }; // in this life,
-    std::uint64_t m_formerFence { 0 }; // under this fence.
-    std::uint64_t m_gaveUpFence { 0 }; // Of our own.
+    std::string m_resignedHolder {}; // The holder that last announced that it resigned, with its incarnation and fence.
+    std::uint64_t m_resignedIncarnation { 0 };
+    std::uint64_t m_resignedFence { 0 };
+    std::uint64_t m_ownResignedFence { 0 }; // Highest fence that this process resigned from.
 };
 
 } // namespace Onyxnotch
--- a/modules/placement/lease_keeper.cpp
+++ b/modules/placement/lease_keeper.cpp
@@ -12,15 +12,15 @@
 {
 }
 
-bool LeaseKeeper::step(bool mayTake)
+bool LeaseKeeper::step(bool mayAcquire)
 {
     std::lock_guard lock(m_mutex);
     auto now = steadyNow();
-    auto wanted = m_known ? m_machine.next(now) : std::nullopt;
-    bool renews = wanted && m_machine.holds(now);
-    if (wanted && (renews || mayTake))
-        write(*wanted);
-    else if (!m_known || (!m_machine.holds(now) && now >= m_nextRead))
+    auto leaseWrite = m_isObserved ? m_machine.next(now) : std::nullopt;
+    bool isRenewal = leaseWrite && m_machine.holds(now);
+    if (leaseWrite && (isRenewal || mayAcquire))
+        write(*leaseWrite);
+    else if (!m_isObserved || (!m_machine.holds(now) && now >= m_nextReadAt))
         read();
     return m_machine.holds(steadyNow());
 }
@@ -28,7 +28,7 @@
 void LeaseKeeper::read()
 {
     auto sentAt = steadyNow();
-    m_nextRead = sentAt + m_options.renewEvery / 3;
+    m_nextReadAt = sentAt + m_options.renewEvery / 3;
     auto object = m_objects.get(m_key);
     if (!object)
         return;
@@ -42,23 +42,23 @@
         version = object.value()->version;
     }
     m_machine.observe(record, version, sentAt, steadyNow());
-    m_known = true;
+    m_isObserved = true;
 }
 
-void LeaseKeeper::write(const LeaseWrite& wanted)
+void LeaseKeeper::write(const LeaseWrite& leaseWrite)
 {
     auto heldBefore = m_machine.holds(steadyNow());
     auto sentAt = steadyNow();
-    auto text = leaseToJson(wanted.record);
-    auto version = wanted.kind == LeaseWriteKind::Create ? m_objects.create(m_key, text) : m_objects.update(m_key, text, wanted.version);
+    auto text = leaseToJson(leaseWrite.record);
+    auto version = leaseWrite.kind == LeaseWriteKind::Create ? m_objects.create(m_key, text) : m_objects.update(m_key, text, leaseWrite.version);
     if (!version) {
         m_machine.forget();
-        m_known = false;
+        m_isObserved = false;
         return;
     }
-    m_machine.written(wanted, version.value(), sentAt);
+    m_machine.written(leaseWrite, version.value(), sentAt);
     if (!heldBefore)
-        logEvent(LogLevel::Info, "lease_taken", { { "lease", m_key }, { "fence", wanted.record.fence } });
+        logEvent(LogLevel::Info, "lease_taken", { { "lease", m_key }, { "fence", leaseWrite.record.fence } });
 }
 
 void LeaseKeeper::release()
@@ -72,8 +72,8 @@
     auto record = leaseFromJson(object.value()->value);
     if (!record || record.value().fence != m_machine.fence())
         return;
-    LeaseWrite wanted { .kind = LeaseWriteKind::Update, .version = object.value()->version, .record = { .holder = {}, .fence = record.value().fence, .renewals = 0 } };
-    write(wanted);
+    LeaseWrite leaseWrite { .kind = LeaseWriteKind::Update, .version = object.value()->version, .record = { .holder = {}, .fence = record.value().fence, .renewals = 0 } };
+    write(leaseWrite);
 }
 
 bool LeaseKeeper::holds() const
@@ -94,10 +94,10 @@
     return m_machine.fence();
 }
 
-SteadyTime LeaseKeeper::takenAt() const
+SteadyTime LeaseKeeper::acquiredAt() const
 {
     std::lock_guard lock(m_mutex);
-    return m_machine.takenAt();
+    return m_machine.acquiredAt();
 }
 
 } // namespace Onyxnotch
--- a/modules/placement/lease_keeper.h
+++ b/modules/placement/lease_keeper.h
@@ -1,4 +1,4 @@
-// Carries out what a lease machine decides.
+// Acquires, renews and releases one lease: sends the reads and writes that LeaseMachine decides on to the object service.
 #pragma once
 
 #include "modules/placement/lease.h"
@@ -7,21 +7,21 @@
 
 namespace Onyxnotch {
 
-// Thread safe.
+// Thread-safe.
 class LeaseKeeper {
 public:
     LeaseKeeper(const ObjectClient&, const std::string& name, std::string self, const LeaseOptions&);
 
-    // Reads or writes as due: at most one call to the object service. `mayTake` is false for a node that should only keep what it
-    // has. Returns whether the lease is held.
-    bool step(bool mayTake);
-    // Lets the next holder take it at once.
+    // Sends the read or write that is due: at most one call to the object service, which blocks. If `mayAcquire` is false, a held lease
+    // is renewed but not acquired anew. Returns whether the lease is held.
+    bool step(bool mayAcquire);
+    // Gives up the lease in the object service, so that another node can acquire it without waiting for its expiry.
     void release();
 
     bool holds() const;
     Milliseconds left() const;
     std::uint64_t fence() const;
-    SteadyTime takenAt() const;
+    SteadyTime acquiredAt() const;
 
 private:
     void read();
@@ -32,8 +32,8 @@
     LeaseOptions m_options;
     mutable std::mutex m_mutex;
     LeaseMachine m_machine;
-    bool m_known { false };
-    SteadyTime m_nextRead {};
+    bool m_isObserved { false };
+    SteadyTime m_nextReadAt {};
 };
 
 } // namespace Onyxnotch
--- a/modules/placement/placement_plan.cpp
+++ b/modules/placement/placement_plan.cpp
@@ -17,7 +17,7 @@
         return { { "zone", offer.zone }, { "class", offer.machineClass }, { "market", toString(offer.market) } };
     }
 
-    // What one service needs by the rule that counts for it.
+    // What one service needs: its model, and the placement rule that applies to it.
     struct Demand {
         std::string service;
         std::string rule;
@@ -34,22 +34,22 @@
             const auto* model = service.type == ServiceType::Model ? configuration.modelVersionFor(service) : nullptr;
             if (!model)
                 return;
-            const DeclaredObject* chosen = nullptr;
+            const DeclaredObject* appliedRule = nullptr;
             std::size_t specificity = 0;
             configuration.forEach<PlacementRuleSpec>([&](const DeclaredObject& rule, const PlacementRuleSpec& spec) {
-                // Objects come in the order of their names, so the first of equals stays.
-                bool better = !chosen || spec.services.specificity() > specificity;
-                if (!spec.services.matches(object.labels) || !better)
+                // Objects are visited in the order of their names, so among equally specific rules the first by name is chosen.
+                bool isBetter = !appliedRule || spec.services.specificity() > specificity;
+                if (!spec.services.matches(object.labels) || !isBetter)
                     return;
-                chosen = &rule;
+                appliedRule = &rule;
                 specificity = spec.services.specificity();
             });
-            if (!chosen)
+            if (!appliedRule)
                 return;
             Demand demand {
                 .service = object.name.name,
-                .rule = chosen->name.name,
-                .spec = std::get<PlacementRuleSpec>(chosen->spec),
+                .rule = appliedRule->name.name,
+                .spec = std::get<PlacementRuleSpec>(appliedRule->spec),
                 .model = model->name.name,
                 .weights = std::get<ModelVersionSpec>(model->spec).weights,
                 .adapters = {},
@@ -61,7 +61,8 @@
         return demands;
     }
 
-    // Fills one demand: keeps what fits of the previous slots, then adds the cheapest offers, new zones first until there are enough.
+    // Plans the slots for one demand: keeps matching slots of the previous plan, then adds the cheapest offers. Offers in zones without a
+    // slot are preferred until the rule's minimum number of zones is reached.
     class DemandPlanner {
     public:
         DemandPlanner(const PlacementInput& input, const Demand& demand, PlacementPlan& plan)
@@ -71,16 +72,16 @@
         {
         }
 
-        void run()
+        void planSlots()
         {
-            keepPrevious();
-            while (m_kept < m_demand.spec.replicas) {
-                const auto* offer = cheapest();
+            keepPreviousSlots();
+            while (m_currentSlots < m_demand.spec.replicas) {
+                const auto* offer = cheapestOffer();
                 if (!offer)
                     break;
-                add(*offer);
+                addSlot(*offer);
             }
-            keepUntilReplaced();
+            keepOutdatedSlots();
         }
 
     private:
@@ -90,51 +91,51 @@
             return it == m_input.status.end() ? nullptr : &it->second;
         }
 
-        bool isOurs(const PlannedSlot& slot) const { return slot.service == m_demand.service; }
+        bool isForService(const PlannedSlot& slot) const { return slot.service == m_demand.service; }
 
-        bool usable(const PlannedSlot& slot) const
+        bool isUsable(const PlannedSlot& slot) const
         {
             const auto* status = statusOf(slot);
-            bool gone = status && (status->state == SlotState::Leaving || status->state == SlotState::Refused);
-            return !gone && m_demand.spec.offers.matches(labelsOf(slot.offer));
+            bool isLost = status && (status->state == SlotState::Leaving || status->state == SlotState::Refused);
+            return !isLost && m_demand.spec.offers.matches(labelsOf(slot.offer));
         }
 
-        bool current(const PlannedSlot& slot) const { return slot.model == m_demand.model && slot.adapters == m_demand.adapters; }
+        bool isUpToDate(const PlannedSlot& slot) const { return slot.model == m_demand.model && slot.adapters == m_demand.adapters; }
 
-        void keepPrevious()
+        void keepPreviousSlots()
         {
             for (const auto& it : m_input.previous.slots) {
-                if (!isOurs(it) || !usable(it) || !current(it) || m_kept >= m_demand.spec.replicas)
+                if (!isForService(it) || !isUsable(it) || !isUpToDate(it) || m_currentSlots >= m_demand.spec.replicas)
                     continue;
                 m_plan.slots.push_back(it);
-                ++m_zones[it.offer.zone];
-                ++m_kept;
+                ++m_slotsPerZone[it.offer.zone];
+                ++m_currentSlots;
                 const auto* status = statusOf(it);
-                m_loaded += status && status->state == SlotState::Loaded ? 1 : 0;
+                m_loadedSlots += status && status->state == SlotState::Loaded ? 1 : 0;
             }
         }
 
-        // Slots with an older model serve on until the new ones are loaded.
-        void keepUntilReplaced()
+        // Keeps slots with an older model or other adapters in the plan until all replicas with the current ones are loaded.
+        void keepOutdatedSlots()
         {
-            if (m_loaded >= m_demand.spec.replicas)
+            if (m_loadedSlots >= m_demand.spec.replicas)
                 return;
             for (const auto& it : m_input.previous.slots) {
-                if (isOurs(it) && usable(it) && !current(it))
+                if (isForService(it) && isUsable(it) && !isUpToDate(it))
                     m_plan.slots.push_back(it);
             }
         }
 
-        const Offer* cheapest() const
+        const Offer* cheapestOffer() const
         {
-            bool newZoneWanted = m_zones.size() < m_demand.spec.minimumZones;
+            bool needsNewZone = m_slotsPerZone.size() < m_demand.spec.minimumZones;
             const Offer* best = nullptr;
-            for (bool onlyNewZones : { newZoneWanted, false }) {
+            for (bool onlyNewZones : { needsNewZone, false }) {
                 for (const auto& it : m_input.offers) {
-                    bool possible = m_demand.spec.offers.matches(labelsOf(it)) && !m_input.refusedOffers.contains(it);
-                    if (!possible || (onlyNewZones && m_zones.contains(it.zone)))
+                    bool isAllowed = m_demand.spec.offers.matches(labelsOf(it)) && !m_input.refusedOffers.contains(it);
+                    if (!isAllowed || (onlyNewZones && m_slotsPerZone.contains(it.zone)))
                         continue;
-                    if (!best || rank(it) < rank(*best))
+                    if (!best || sortKey(it) < sortKey(*best))
                         best = &it;
                 }
                 if (best)
@@ -143,14 +144,14 @@
             return nullptr;
         }
 
-        // Price first, then the zone with fewer slots, then a fixed order.
-        std::tuple<double, unsigned, std::string, std::string> rank(const Offer& offer) const
+        // Sort key, lowest first: price, then the number of slots in the zone, then names to make the order deterministic.
+        std::tuple<double, unsigned, std::string, std::string> sortKey(const Offer& offer) const
         {
-            auto it = m_zones.find(offer.zone);
-            return { offer.pricePerHour, it == m_zones.end() ? 0 : it->second, offer.zone, offer.machineClass };
+            auto it = m_slotsPerZone.find(offer.zone);
+            return { offer.pricePerHour, it == m_slotsPerZone.end() ? 0 : it->second, offer.zone, offer.machineClass };
         }
 
-        void add(const Offer& offer)
+        void addSlot(const Offer& offer)
         {
             PlannedSlot slot {
                 .id = "slot-" + std::to_string(m_plan.nextSlot++),
@@ -161,19 +162,19 @@
                 .adapters = m_demand.adapters,
                 .offer = offer,
                 .checksFences = m_demand.spec.checksFences,
-                .reason = "rule " + m_demand.rule + ": cheapest offer that it selects" + (m_zones.size() < m_demand.spec.minimumZones ? " in a further zone" : ""),
+                .reason = "rule " + m_demand.rule + ": cheapest offer that it selects" + (m_slotsPerZone.size() < m_demand.spec.minimumZones ? " in a further zone" : ""),
             };
             m_plan.slots.push_back(slot);
-            ++m_zones[offer.zone];
-            ++m_kept;
+            ++m_slotsPerZone[offer.zone];
+            ++m_currentSlots;
         }
 
         const PlacementInput& m_input;
         const Demand& m_demand;
         PlacementPlan& m_plan;
-        std::map<std::string, unsigned> m_zones;
-        unsigned m_kept { 0 };
-        unsigned m_loaded { 0 };
+        std::map<std::string, unsigned> m_slotsPerZone;
+        unsigned m_currentSlots { 0 };
+        unsigned m_loadedSlots { 0 };
     };
 
     Json offerToJson(const Offer& offer)
@@ -238,7 +239,7 @@
 {
     PlacementPlan plan { .configurationVersion = input.configuration.version(), .nextSlot = input.previous.nextSlot, .slots = {} };
     for (const auto& it : demandsOf(input.configuration))
-        DemandPlanner(input, it, plan).run();
+        DemandPlanner(input, it, plan).planSlots();
     return plan;
 }
 
--- a/modules/placement/placement_plan.h
+++ b/modules/placement/placement_plan.h
@@ -1,5 +1,5 @@
-// Where endpoints should run: slots, each of which an instance is to fill. The plan is a pure function of what is declared, offered
-// and there.
+// Placement plan: a list of slots, each of which stands for one model engine on one cloud instance. Computed without side effects from
+// the configuration, the cloud's offers, the previous plan and the status of its slots.
 #pragma once
 
 #include "modules/declaration/configuration.h"
@@ -12,16 +12,16 @@
 namespace Onyxnotch {
 
 enum class SlotState {
-    Intended, // Written down before the cloud is asked.
+    Intended, // Stored before an instance is requested from the cloud.
     Refused, // The cloud had no capacity; the planner moves the slot.
-    Started, // An instance is there; its model is not known to be loaded.
+    Started, // The instance is running; its model may not be loaded yet.
     Loaded,
-    Leaving, // Its instance has been reclaimed, drained or is no longer wanted.
+    Leaving, // The instance is being reclaimed or drained, has ended, or is no longer in the plan.
 };
 
 std::string toString(SlotState);
 
-// What a slot asks for. The id is also the client token of the cloud order, so that an order is never placed twice.
+// What is to run in a slot. The id is also part of the client token of the cloud's start call, which makes that call idempotent.
 struct PlannedSlot {
     std::string id {};
     std::string rule {};
@@ -30,19 +30,19 @@
     std::string weights {};
     std::vector<std::string> adapters {};
     Offer offer {};
-    bool checksFences { true };
-    std::string reason {}; // Why there, for operators.
+    bool checksFences { true }; // Whether the engine refuses orders with an outdated fencing token.
+    std::string reason {}; // Why the slot was placed at this offer, for operators.
 
     bool operator==(const PlannedSlot&) const = default;
 };
 
-// A slot as its zone's controller has brought it about.
+// State of a slot, as reported by the controller of its zone.
 struct SlotStatus {
     PlannedSlot slot {};
     SlotState state { SlotState::Intended };
     std::string instance {};
     Address address {};
-    std::uint64_t retiredAt { 0 }; // Wall milliseconds, for slots that left the plan.
+    std::uint64_t retiredAt { 0 }; // When the slot was removed from the plan, in wall clock milliseconds; 0 if it is still planned.
 
     bool operator==(const SlotStatus&) const = default;
 };
@@ -59,12 +59,12 @@
     Configuration configuration {};
     std::vector<Offer> offers {};
     PlacementPlan previous {};
-    std::map<std::string, SlotStatus> status {}; // By slot id.
-    std::set<Offer> refusedOffers {}; // Refused a short time ago.
+    std::map<std::string, SlotStatus> status {}; // Keyed by slot id.
+    std::set<Offer> refusedOffers {}; // Offers that the cloud refused recently; not planned.
 };
 
-// Slots of the previous plan stay where they still fit. A service that several rules select follows the most specific one; of equally
-// specific ones the first by name.
+// Computes the next plan. Slots of the previous plan are kept if they still match their rule. If several rules select a service, the
+// most specific one applies, and among equally specific ones the first by name.
 PlacementPlan planPlacement(const PlacementInput&);
 
 nlohmann::json planToJson(const PlacementPlan&);
--- a/modules/placement/zone_controller.cpp
+++ b/modules/placement/zone_controller.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    Error leaseLost() { return Error { ErrorCode::Conflict, "the lease has ended" }; }
+    Error leaseLostError() { return Error { ErrorCode::Conflict, "the lease has ended" }; }
 
 } // namespace
 
@@ -26,37 +26,37 @@
     BOOST_OUTCOME_TRY(object, m_objects.get(statusKey(m_options.zone)));
     m_status.clear();
     m_statusVersion = 0;
-    m_savedText.clear();
+    m_savedStatusText.clear();
     if (object) {
         BOOST_OUTCOME_TRY(status, statusFromJson(object->value));
         m_status = status;
         m_statusVersion = object->version;
-        m_savedText = statusToJson(m_status);
+        m_savedStatusText = statusToJson(m_status);
     }
-    m_loaded = true;
+    m_isStatusLoaded = true;
     return success();
 }
 
 Status ZoneController::saveStatus(const LeaseKeeper& lease)
 {
     auto text = statusToJson(m_status);
-    if (text == m_savedText && m_statusVersion != 0)
+    if (text == m_savedStatusText && m_statusVersion != 0)
         return success();
     if (!lease.holds())
-        return leaseLost();
+        return leaseLostError();
     auto key = statusKey(m_options.zone);
     auto version = m_statusVersion == 0 ? m_objects.create(key, text) : m_objects.update(key, text, m_statusVersion);
     if (!version) {
-        // Lost or beaten: what is stored counts, not what is remembered here.
-        m_loaded = false;
+        // The write failed, its answer was lost, or another controller wrote first: load the stored status in the next round.
+        m_isStatusLoaded = false;
         return version.error();
     }
     m_statusVersion = version.value();
-    m_savedText = text;
+    m_savedStatusText = text;
     return success();
 }
 
-std::vector<SlotStatus*> ZoneController::inState(SlotState state)
+std::vector<SlotStatus*> ZoneController::slotsInState(SlotState state)
 {
     std::vector<SlotStatus*> found;
     for (auto& it : m_status) {
@@ -80,66 +80,66 @@
 
 Status ZoneController::reconcile(const PlacementPlan& plan, const LeaseKeeper& lease)
 {
-    if (!m_loaded) {
+    if (!m_isStatusLoaded) {
         BOOST_OUTCOME_TRYV(loadStatus());
     }
-    takePlan(plan);
-    takeMarks();
-    // Intents are stored before the cloud is asked.
+    applyPlan(plan);
+    applyDrainMarks();
+    // Stores the intended slots before any instance is requested from the cloud.
     BOOST_OUTCOME_TRYV(saveStatus(lease));
     BOOST_OUTCOME_TRYV(publishEndpoints(lease));
-    if (startIntended(lease)) {
+    if (startIntendedSlots(lease)) {
         BOOST_OUTCOME_TRYV(saveStatus(lease));
     }
-    if (loadStarted(lease)) {
+    if (loadStartedSlots(lease)) {
         BOOST_OUTCOME_TRYV(saveStatus(lease));
     }
     BOOST_OUTCOME_TRYV(publishEndpoints(lease));
-    BOOST_OUTCOME_TRYV(removeGone(lease));
+    BOOST_OUTCOME_TRYV(removeEndedSlots(lease));
     return saveStatus(lease);
 }
 
-bool ZoneController::takePlan(const PlacementPlan& plan)
+bool ZoneController::applyPlan(const PlacementPlan& plan)
 {
-    bool changed = false;
-    auto planned = [&](const std::string& id) { return std::any_of(plan.slots.begin(), plan.slots.end(), [&](const PlannedSlot& it) { return it.id == id; }); };
+    bool hasChanged = false;
+    auto isPlanned = [&](const std::string& id) { return std::any_of(plan.slots.begin(), plan.slots.end(), [&](const PlannedSlot& it) { return it.id == id; }); };
     for (const auto& it : plan.slots) {
-        bool known = std::any_of(m_status.begin(), m_status.end(), [&](const SlotStatus& status) { return status.slot.id == it.id; });
-        if (it.offer.zone != m_options.zone || known || m_status.size() >= m_options.maximumSlots)
+        bool isKnown = std::any_of(m_status.begin(), m_status.end(), [&](const SlotStatus& status) { return status.slot.id == it.id; });
+        if (it.offer.zone != m_options.zone || isKnown || m_status.size() >= m_options.maximumSlots)
             continue;
         m_status.push_back({ .slot = it, .state = SlotState::Intended });
-        changed = true;
+        hasChanged = true;
     }
     for (auto& it : m_status) {
-        if (planned(it.slot.id) || it.retiredAt != 0)
+        if (isPlanned(it.slot.id) || it.retiredAt != 0)
             continue;
         it.state = it.instance.empty() ? SlotState::Refused : SlotState::Leaving;
         it.retiredAt = wallMilliseconds();
         if (!it.instance.empty())
             m_membership.announceMark({ .endpoint = it.instance, .deadlineWallMilliseconds = it.retiredAt + static_cast<std::uint64_t>(m_options.retireTime.count()), .source = LeavingSource::Operator });
         logEvent(LogLevel::Info, "slot_retired", { { "slot", it.slot.id }, { "endpoint", it.instance } });
-        changed = true;
+        hasChanged = true;
     }
-    return changed;
+    return hasChanged;
 }
 
-bool ZoneController::takeMarks()
+bool ZoneController::applyDrainMarks()
 {
-    bool changed = false;
+    bool hasChanged = false;
     auto view = m_membership.view();
     for (auto& it : m_status) {
         if (it.instance.empty() || it.state == SlotState::Leaving || !view->marks.contains(it.instance))
             continue;
         it.state = SlotState::Leaving;
         logEvent(LogLevel::Info, "slot_leaving", { { "slot", it.slot.id }, { "endpoint", it.instance } });
-        changed = true;
+        hasChanged = true;
     }
-    return changed;
+    return hasChanged;
 }
 
-bool ZoneController::startIntended(const LeaseKeeper& lease)
+bool ZoneController::startIntendedSlots(const LeaseKeeper& lease)
 {
-    auto slots = inState(SlotState::Intended);
+    auto slots = slotsInState(SlotState::Intended);
     if (slots.empty() || !lease.holds())
         return false;
     runParallel(slots, [this](SlotStatus& status) {
@@ -151,26 +151,27 @@
         } else if (instance.error().code == ErrorCode::Exhausted) {
             status.state = SlotState::Refused;
         }
-        // Otherwise it stays intended, and the same token is used again.
+        // After any other error the slot stays intended; the next round repeats the call with the same client token.
         logEvent(LogLevel::Info, "instance_ordered", { { "slot", status.slot.id }, { "state", toString(status.state) }, { "endpoint", status.instance } });
     });
     m_metrics.increment("onyxnotch_cloud_starts_total", { { "zone", m_options.zone } }, static_cast<double>(slots.size()));
     return true;
 }
 
-bool ZoneController::mayOrder(const SlotStatus& status, const LeaseKeeper& lease) const
+bool ZoneController::maySendLoadOrder(const SlotStatus& status, const LeaseKeeper& lease) const
 {
     if (status.slot.checksFences)
         return lease.holds();
-    // This engine obeys anybody. An order of the holder before us may still be under way, and ours must end within our own lease.
-    bool earlierOrdersEnded = lease.fence() == 1 || steadyNow() - lease.takenAt() >= m_options.longestOrder;
+    // This engine executes orders of any sender. Orders of the previous lease holder may still be running until `longestOrder` after the
+    // acquisition, and a new order must end before this lease does.
+    bool earlierOrdersEnded = lease.fence() == 1 || steadyNow() - lease.acquiredAt() >= m_options.longestOrder;
     return earlierOrdersEnded && lease.left() > m_options.longestOrder;
 }
 
-bool ZoneController::loadStarted(const LeaseKeeper& lease)
+bool ZoneController::loadStartedSlots(const LeaseKeeper& lease)
 {
-    auto slots = inState(SlotState::Started);
-    std::erase_if(slots, [&](const SlotStatus* it) { return !mayOrder(*it, lease); });
+    auto slots = slotsInState(SlotState::Started);
+    std::erase_if(slots, [&](const SlotStatus* it) { return !maySendLoadOrder(*it, lease); });
     if (slots.empty())
         return false;
     auto fence = lease.fence();
@@ -204,22 +205,22 @@
     }
     auto text = encodeEndpoints(endpoints);
     auto key = endpointsKey(m_options.zone);
-    if (!m_publishedKnown) {
+    if (!m_isPublishedLoaded) {
         BOOST_OUTCOME_TRY(object, m_objects.get(key));
         m_publishedVersion = object ? object->version : 0;
         m_publishedText.clear();
         auto stored = object ? decodeEndpoints(object->value) : Result<std::vector<Endpoint>>(std::vector<Endpoint>());
         if (object && stored)
             m_publishedText = encodeEndpoints(stored.value());
-        m_publishedKnown = true;
+        m_isPublishedLoaded = true;
     }
     if (text == m_publishedText || (endpoints.empty() && m_publishedVersion == 0))
         return success();
     if (!lease.holds())
-        return leaseLost();
+        return leaseLostError();
     auto version = m_publishedVersion == 0 ? m_objects.create(key, text) : m_objects.update(key, text, m_publishedVersion);
     if (!version) {
-        m_publishedKnown = false;
+        m_isPublishedLoaded = false;
         return version.error();
     }
     m_publishedVersion = version.value();
@@ -227,38 +228,38 @@
     return success();
 }
 
-Status ZoneController::removeGone(const LeaseKeeper& lease)
+Status ZoneController::removeEndedSlots(const LeaseKeeper& lease)
 {
     BOOST_OUTCOME_TRY(instances, m_cloud.instances());
     auto exists = [&](const std::string& id) { return std::any_of(instances.begin(), instances.end(), [&](const CloudInstance& it) { return it.id == id; }); };
     auto now = wallMilliseconds();
     for (auto& it : m_status) {
-        bool retired = it.retiredAt != 0 && now - it.retiredAt >= static_cast<std::uint64_t>(m_options.retireTime.count());
-        if (it.state == SlotState::Leaving && retired && exists(it.instance) && lease.left() >= m_options.longestTermination)
+        bool isDrainTimeOver = it.retiredAt != 0 && now - it.retiredAt >= static_cast<std::uint64_t>(m_options.retireTime.count());
+        if (it.state == SlotState::Leaving && isDrainTimeOver && exists(it.instance) && lease.left() >= m_options.longestTermination)
             (void)m_cloud.terminate(it.instance);
-        // An instance that ended without a notice.
+        // The instance ended without a reclaim notice.
         if ((it.state == SlotState::Loaded || it.state == SlotState::Started) && !exists(it.instance)) {
             it.state = SlotState::Leaving;
             m_membership.announceMark({ .endpoint = it.instance, .deadlineWallMilliseconds = now, .source = LeavingSource::InstanceList });
         }
     }
     std::erase_if(m_status, [&](const SlotStatus& it) {
-        bool ended = it.state == SlotState::Leaving && !exists(it.instance);
-        return it.retiredAt != 0 && (ended || it.instance.empty());
+        bool hasEnded = it.state == SlotState::Leaving && !exists(it.instance);
+        return it.retiredAt != 0 && (hasEnded || it.instance.empty());
     });
-    return terminateLeaked(instances, lease);
+    return terminateLeakedInstances(instances, lease);
 }
 
-Status ZoneController::terminateLeaked(const std::vector<CloudInstance>& instances, const LeaseKeeper& lease)
+Status ZoneController::terminateLeakedInstances(const std::vector<CloudInstance>& instances, const LeaseKeeper& lease)
 {
     for (const auto& it : instances) {
-        bool ours = it.zone == m_options.zone && it.clientToken.rfind(m_options.tokenPrefix, 0) == 0;
-        bool known = std::any_of(m_status.begin(), m_status.end(), [&](const SlotStatus& status) { return m_options.tokenPrefix + status.slot.id == it.clientToken; });
-        if (!ours || known)
+        bool isManaged = it.zone == m_options.zone && it.clientToken.rfind(m_options.tokenPrefix, 0) == 0;
+        bool isKnown = std::any_of(m_status.begin(), m_status.end(), [&](const SlotStatus& status) { return m_options.tokenPrefix + status.slot.id == it.clientToken; });
+        if (!isManaged || isKnown)
             continue;
-        // The cloud checks no fence: only a lease with time left shows that nobody else has ordered this instance meanwhile.
+        // The cloud doesn't check fences: only enough remaining lease time ensures that no other controller has ordered this instance.
         if (lease.left() < m_options.longestTermination)
-            return leaseLost();
+            return leaseLostError();
         logEvent(LogLevel::Warning, "leaked_instance_ended", { { "endpoint", it.id }, { "token", it.clientToken } });
         BOOST_OUTCOME_TRYV(m_cloud.terminate(it.id));
     }
--- a/modules/placement/zone_controller.h
+++ b/modules/placement/zone_controller.h
@@ -1,5 +1,6 @@
-// Brings the slots of one availability zone about, under that zone's lease. Each step is written down before it is taken, so that a
-// successor goes on where a controller died.
+// Implements the placement plan in one availability zone while this process holds the zone's lease: starts and ends instances, orders
+// engines to load models, and publishes the zone's endpoints. Each step is stored before it is executed, so that the next holder of the
+// lease can continue after a crash.
 #pragma once
 
 #include "core/metrics.h"
@@ -13,11 +14,11 @@
 
 struct ZoneControllerOptions {
     std::string zone {};
-    std::string tokenPrefix { "onyxnotch-" }; // Of our client tokens; other instances of the account are left alone.
-    Milliseconds longestOrder { 8000 }; // An engine that has not answered by then has given up the order.
-    Milliseconds longestTermination { 2500 }; // The cloud's answer to the end of an instance takes no longer.
-    Milliseconds retireTime { 30000 }; // For streams at a slot that is no longer wanted.
-    unsigned parallelism { 8 }; // Cloud starts and load orders at once.
+    std::string tokenPrefix { "onyxnotch-" }; // Prefix of the client tokens of started instances. Instances of the same cloud account without it are never ended.
+    Milliseconds longestOrder { 8000 }; // Time limit of a load order: an engine that hasn't answered within this time has dropped the order.
+    Milliseconds longestTermination { 2500 }; // Upper bound for the duration of the cloud's call that ends an instance.
+    Milliseconds retireTime { 30000 }; // Time for running streams to finish before the instance of a slot that was removed from the plan is ended.
+    unsigned parallelism { 8 }; // Maximum number of concurrent cloud starts or load orders.
     std::size_t maximumSlots { 2000 };
 };
 
@@ -25,7 +26,8 @@
 public:
     ZoneController(const ZoneControllerOptions&, const ObjectClient&, const CloudClient&, MembershipServer&, Metrics&);
 
-    // One round. `lease` must be held; it is looked at again before each step that others see.
+    // Executes one round. `lease` must be held; it is checked again before each externally visible step.
+    // Fails if a call to the cloud or the object service fails, or if the lease expires.
     Status reconcile(const PlacementPlan&, const LeaseKeeper& lease);
 
     static std::string statusKey(const std::string& zone) { return "status/zones/" + zone; }
@@ -35,16 +37,17 @@
     Status loadStatus();
     Status saveStatus(const LeaseKeeper&);
     Status publishEndpoints(const LeaseKeeper&);
-    bool takePlan(const PlacementPlan&);
-    bool takeMarks();
-    bool startIntended(const LeaseKeeper&);
-    bool loadStarted(const LeaseKeeper&);
-    Status removeGone(const LeaseKeeper&);
-    Status terminateLeaked(const std::vector<CloudInstance>&, const LeaseKeeper&);
-    // Whether an order to this slot may be sent now and will have ended before the lease does.
-    bool mayOrder(const SlotStatus&, const LeaseKeeper&) const;
+    bool applyPlan(const PlacementPlan&);
+    bool applyDrainMarks();
+    bool startIntendedSlots(const LeaseKeeper&);
+    bool loadStartedSlots(const LeaseKeeper&);
+    Status removeEndedSlots(const LeaseKeeper&);
+    Status terminateLeakedInstances(const std::vector<CloudInstance>&, const LeaseKeeper&);
+    // Whether a load order may be sent to this slot's engine now. For an engine that doesn't check fences, the order must end before the
+    // lease does, and orders of the previous holder must have ended.
+    bool maySendLoadOrder(const SlotStatus&, const LeaseKeeper&) const;
     void runParallel(const std::vector<SlotStatus*>&, const std::function<void(SlotStatus&)>&) const;
-    std::vector<SlotStatus*> inState(SlotState);
+    std::vector<SlotStatus*> slotsInState(SlotState);
 
     ZoneControllerOptions m_options;
     const ObjectClient& m_objects;
@@ -52,12 +55,12 @@
     MembershipServer& m_membership;
     Metrics& m_metrics;
     std::vector<SlotStatus> m_status {};
-    std::uint64_t m_statusVersion { 0 }; // 0: to be created.
-    std::string m_savedText {};
-    bool m_loaded { false };
+    std::uint64_t m_statusVersion { 0 }; // 0 if the object doesn't exist yet.
+    std::string m_savedStatusText {};
+    bool m_isStatusLoaded { false };
     std::string m_publishedText {};
     std::uint64_t m_publishedVersion { 0 };
-    bool m_publishedKnown { false };
+    bool m_isPublishedLoaded { false };
 };
 
 } // namespace Onyxnotch
--- a/tests/modules/placement/test_lease.cpp
+++ b/tests/modules/placement/test_lease.cpp
@@ -5,18 +5,18 @@
 
 namespace {
 
-// The stored lease, as the object service keeps it.
+// Simulates the object service for the one object that stores the lease.
 struct Store {
     std::optional<LeaseRecord> record;
     std::uint64_t version { 0 };
 
-    // Carries a write out where its condition holds.
-    bool write(const LeaseWrite& wanted)
+    // Executes the write if its condition on the object's version is met; returns whether it did.
+    bool write(const LeaseWrite& leaseWrite)
     {
-        bool holds = wanted.kind == LeaseWriteKind::Create ? !record : record && version == wanted.version;
+        bool holds = leaseWrite.kind == LeaseWriteKind::Create ? !record : record && version == leaseWrite.version;
         if (!holds)
             return false;
-        record = wanted.record;
+        record = leaseWrite.record;
         ++version;
         return true;
     }
@@ -26,8 +26,8 @@
 
 BOOST_AUTO_TEST_SUITE(Leases)
 
-// Three holders with clocks of different rates; reads, writes, lost answers and pauses in any order.
-BOOST_AUTO_TEST_CASE(two_never_hold_it_at_once)
+// Property test: three nodes with clocks of different rates read and write the lease; answers get lost and nodes pause, in random order.
+BOOST_AUTO_TEST_CASE(at_most_one_node_holds_the_lease)
 {
     Tests::checkProperty("exclusive", [](const std::vector<std::pair<unsigned char, unsigned char>>& events) {
         LeaseOptions options { .duration = Milliseconds(1000), .renewEvery = Milliseconds(300), .clockRateBound = 0.05 };
@@ -48,14 +48,14 @@
                 break;
             case 1:
             case 2: {
-                auto wanted = machine.next(sent);
-                if (!wanted)
+                auto leaseWrite = machine.next(sent);
+                if (!leaseWrite)
                     break;
-                // The write takes a while, and its answer may be lost.
+                // The write takes up to 63 ms, and its answer may be lost.
                 now += which % 64;
-                bool done = store.write(*wanted);
-                if (done && which % 5 != 0)
-                    machine.written(*wanted, store.version, sent);
+                bool isWritten = store.write(*leaseWrite);
+                if (isWritten && which % 5 != 0)
+                    machine.written(*leaseWrite, store.version, sent);
                 else
                     machine.forget();
                 break;
@@ -71,8 +71,9 @@
     });
 }
 
-// Found by the bench: a holder that the store turned away lost its lease, and nobody had the duties for eight seconds of a shortage.
-BOOST_AUTO_TEST_CASE(a_lease_that_its_holder_gave_up_is_taken_at_once)
+// Guards against waiting for a lease to expire after its holder has announced that it resigned. Without this, after the store refused
+// the holder's renewals, no node had the lease for eight seconds during a shortage of endpoints.
+BOOST_AUTO_TEST_CASE(a_lease_whose_holder_resigned_can_be_acquired_at_once)
 {
     auto now = SteadyTime();
     LeaseMachine machine("b", { .duration = Milliseconds(1000) });
@@ -83,41 +84,41 @@
     BOOST_TEST(!machine.next(now).has_value());
     machine.holderGaveUp("c", 5, 3);
     BOOST_TEST(!machine.next(now).has_value());
-    // An earlier life said so; a later one has renewed the lease since.
+    // An earlier incarnation of the holder resigned; a later one has acquired the lease since.
     machine.holderGaveUp("a", 4, 3);
     BOOST_TEST(!machine.next(now).has_value());
     machine.holderGaveUp("a", 5, 3);
-    auto wanted = machine.next(now);
-    BOOST_REQUIRE(wanted.has_value());
-    BOOST_TEST(wanted->record.fence == 4U);
-    BOOST_TEST(wanted->version == 7U);
+    auto leaseWrite = machine.next(now);
+    BOOST_REQUIRE(leaseWrite.has_value());
+    BOOST_TEST(leaseWrite->record.fence == 4U);
+    BOOST_TEST(leaseWrite->version == 7U);
 }
 
-// Found by reading: others may take a fence that was given up, so its holder must not go on under it.
-BOOST_AUTO_TEST_CASE(who_gave_up_takes_the_lease_under_a_higher_fence)
+// Once a holder has announced that it resigned, another node may acquire the lease; the former holder must not act under the old fence.
+BOOST_AUTO_TEST_CASE(a_holder_that_resigned_acquires_the_lease_with_a_higher_fence)
 {
     auto now = SteadyTime();
     LeaseMachine machine("a", { .duration = Milliseconds(1000) });
     machine.observe(std::nullopt, 0, now, now);
-    auto taken = machine.next(now);
-    BOOST_REQUIRE(taken.has_value());
-    machine.written(*taken, 1, now);
+    auto acquisition = machine.next(now);
+    BOOST_REQUIRE(acquisition.has_value());
+    machine.written(*acquisition, 1, now);
     machine.giveUp();
     BOOST_TEST(!machine.holds(now));
-    auto again = machine.next(now);
-    BOOST_REQUIRE(again.has_value());
-    BOOST_TEST(again->record.fence == taken->record.fence + 1);
-    BOOST_TEST(again->version == 1U);
+    auto reacquisition = machine.next(now);
+    BOOST_REQUIRE(reacquisition.has_value());
+    BOOST_TEST(reacquisition->record.fence == acquisition->record.fence + 1);
+    BOOST_TEST(reacquisition->version == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_holder_finds_that_its_lease_has_lapsed)
+BOOST_AUTO_TEST_CASE(a_lease_without_renewal_expires_for_its_holder)
 {
     LeaseMachine machine("a", { .duration = Milliseconds(1000) });
     auto now = SteadyTime();
     machine.observe(std::nullopt, 0, now, now);
-    auto wanted = machine.next(now);
-    BOOST_REQUIRE(wanted);
-    machine.written(*wanted, 1, now);
+    auto leaseWrite = machine.next(now);
+    BOOST_REQUIRE(leaseWrite);
+    machine.written(*leaseWrite, 1, now);
     BOOST_CHECK(machine.holds(now + Milliseconds(900)));
     BOOST_CHECK(!machine.holds(now + Milliseconds(2000)));
 }
@@ -129,16 +130,16 @@
     LeaseRecord other { .holder = "a", .fence = 4, .renewals = 9 };
     machine.observe(other, 17, now, now);
     BOOST_CHECK(!machine.next(now + Milliseconds(999)));
-    auto wanted = machine.next(now + Milliseconds(1000));
-    BOOST_REQUIRE(wanted);
-    BOOST_CHECK_EQUAL(wanted->record.fence, 5);
-    BOOST_CHECK_EQUAL(wanted->version, 17);
-    // A renewal that was seen starts the wait anew.
+    auto leaseWrite = machine.next(now + Milliseconds(1000));
+    BOOST_REQUIRE(leaseWrite);
+    BOOST_CHECK_EQUAL(leaseWrite->record.fence, 5);
+    BOOST_CHECK_EQUAL(leaseWrite->version, 17);
+    // An observed renewal restarts the wait for the expiry.
     machine.observe(LeaseRecord { .holder = "a", .fence = 4, .renewals = 10 }, 18, now + Milliseconds(900), now + Milliseconds(900));
     BOOST_CHECK(!machine.next(now + Milliseconds(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_released_lease_is_taken_at_once)
+BOOST_AUTO_TEST_CASE(a_released_lease_can_be_acquired_at_once)
 {
     LeaseMachine machine("b", {});
     machine.observe(LeaseRecord { .holder = "", .fence = 4, .renewals = 0 }, 3, SteadyTime(), SteadyTime());
--- a/tests/modules/placement/test_placement_plan.cpp
+++ b/tests/modules/placement/test_placement_plan.cpp
@@ -41,12 +41,12 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementPlans)
 
-BOOST_AUTO_TEST_CASE(the_cheapest_offers_that_spread_over_enough_zones)
+BOOST_AUTO_TEST_CASE(the_cheapest_offers_are_planned_within_the_minimum_number_of_zones)
 {
     auto plan = planPlacement({ .configuration = configurationOf(4, 2), .offers = offersOf() });
     BOOST_CHECK_EQUAL(plan.slots.size(), 4);
     BOOST_CHECK(zonesOf(plan) == (std::set<std::string> { "z1", "z2" }));
-    // The same input again changes nothing.
+    // Planning again with the same input and the previous plan returns the same plan.
     BOOST_CHECK(planPlacement({ .configuration = configurationOf(4, 2), .offers = offersOf(), .previous = plan }) == plan);
 }
 
@@ -63,7 +63,7 @@
     BOOST_CHECK(next.slots[0].id != plan.slots[0].id);
 }
 
-BOOST_AUTO_TEST_CASE(an_old_version_serves_until_the_new_one_is_loaded)
+BOOST_AUTO_TEST_CASE(a_slot_with_an_old_model_version_stays_until_the_new_one_is_loaded)
 {
     auto old = planPlacement({ .configuration = configurationOf(1, 1), .offers = offersOf() });
     PlacementInput input { .configuration = configurationOf(1, 1, 2), .offers = offersOf(), .previous = old };
@@ -78,7 +78,7 @@
     BOOST_CHECK_EQUAL(last.slots[0].model, "m-v2");
 }
 
-BOOST_AUTO_TEST_CASE(slots_never_share_an_id_and_never_exceed_the_replicas)
+BOOST_AUTO_TEST_CASE(slot_ids_are_unique_and_slots_never_exceed_the_replicas)
 {
     Tests::checkProperty("random status", [](const std::vector<unsigned char>& states) {
         PlacementPlan plan;
@@ -98,7 +98,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(plans_come_back_from_json)
+BOOST_AUTO_TEST_CASE(plans_and_slot_statuses_survive_a_json_round_trip)
 {
     auto plan = planPlacement({ .configuration = configurationOf(4, 2), .offers = offersOf() });
     BOOST_CHECK(planFromJson(planToJson(plan).dump()).value() == plan);
