--- a/modules/replica/endpoint_catalog.h
+++ b/modules/replica/endpoint_catalog.h
@@ -1,4 +1,4 @@
-// The endpoints that exist, as the controllers publish them: one document for each availability zone.
+// The list of model engines that controllers publish, one JSON document for each availability zone, and its encoding.
 #pragma once
 
 #include "core/json_decode.h"
@@ -12,9 +12,9 @@
 
 namespace Onyxnotch {
 
-// A model engine that can be given work once its model is loaded.
+// A model engine. Accepts requests once its model is loaded.
 struct Endpoint {
-    std::string id {}; // The cloud instance id: a replacement has another one.
+    std::string id {}; // Cloud id of the instance that runs the engine; a replacement instance has a different id.
     Address address {};
     std::string zone {};
     std::string machineClass {};
@@ -26,7 +26,7 @@
     bool operator==(const Endpoint&) const = default;
 };
 
-// The endpoints of a zone at one version. Versions come from the object service and only grow.
+// The endpoints of an availability zone. `version` is assigned by the object service and increases with each change.
 struct ZoneEndpoints {
     std::string zone {};
     std::uint64_t version { 0 };
@@ -36,7 +36,8 @@
 };
 
 nlohmann::json endpointToJson(const Endpoint&);
-// Throws nlohmann::json::exception on another shape; for use within decodeJson.
+// Throws nlohmann::json::exception if a field is missing or has the wrong type. Call it from a decodeJson() function only, which
+// converts the exception to an error.
 Endpoint endpointFromJson(const nlohmann::json&);
 
 std::string encodeEndpoints(const std::vector<Endpoint>&);
--- a/modules/replica/state_replica.cpp
+++ b/modules/replica/state_replica.cpp
@@ -104,8 +104,8 @@
     DocumentUpdate update { .name = std::string(configurationDocument), .fromVersion = fromVersion, .version = current.version() };
     {
         std::lock_guard lock(m_mutex);
-        bool enough = fromVersion != 0 && !m_recentChanges.empty() && m_recentChanges.front().version <= fromVersion + 1;
-        if (enough) {
+        bool isHistorySufficient = fromVersion != 0 && !m_recentChanges.empty() && m_recentChanges.front().version <= fromVersion + 1;
+        if (isHistorySufficient) {
             auto changes = Json::array();
             for (const auto& it : m_recentChanges) {
                 if (it.version > fromVersion)
@@ -120,45 +120,45 @@
     return update;
 }
 
-std::vector<DocumentUpdate> StateReplica::updatesSince(const std::vector<DocumentVersion>& theirs) const
+std::vector<DocumentUpdate> StateReplica::updatesSince(const std::vector<DocumentVersion>& peerVersions) const
 {
     auto current = state();
     std::vector<DocumentUpdate> updates;
-    auto theirVersion = versionOf(theirs, std::string(configurationDocument));
-    if (current->configuration.version() > theirVersion)
-        updates.push_back(configurationUpdate(theirVersion, current->configuration));
+    auto peerVersion = versionOf(peerVersions, std::string(configurationDocument));
+    if (current->configuration.version() > peerVersion)
+        updates.push_back(configurationUpdate(peerVersion, current->configuration));
     for (const auto& [name, zone] : current->zones) {
         auto document = std::string(zonePrefix) + name;
-        if (zone.version > versionOf(theirs, document))
+        if (zone.version > versionOf(peerVersions, document))
             updates.push_back({ .name = document, .fromVersion = 0, .version = zone.version, .payload = encodeEndpoints(zone.endpoints) });
     }
     return updates;
 }
 
-bool StateReplica::takeChanges(const std::string& payload)
+bool StateReplica::applyChanges(const std::string& payload)
 {
     auto changes = decodeJson<std::vector<ConfigurationChange>>(payload, ErrorCode::InvalidArgument, "changes", [](const Json& document) {
-        std::vector<ConfigurationChange> read;
+        std::vector<ConfigurationChange> decoded;
         for (const auto& it : document) {
             auto change = changeFromJson(it);
             if (change)
-                read.push_back(change.value());
+                decoded.push_back(change.value());
         }
-        return read;
+        return decoded;
     });
     if (!changes)
         return false;
-    bool moved = false;
+    bool hasAdvanced = false;
     for (const auto& it : changes.value())
-        moved |= applyChange(it);
-    return moved;
+        hasAdvanced |= applyChange(it);
+    return hasAdvanced;
 }
 
 bool StateReplica::applyUpdate(const DocumentUpdate& update)
 {
     if (update.name == configurationDocument) {
         if (update.fromVersion != 0)
-            return takeChanges(update.payload);
+            return applyChanges(update.payload);
         auto document = decodeJson<Json>(update.payload, ErrorCode::InvalidArgument, "configuration", [](Json parsed) { return parsed; });
         auto configuration = document ? configurationFromJson(document.value()) : Result<Configuration>(document.error());
         return configuration && applyConfiguration(configuration.value());
@@ -175,7 +175,7 @@
 {
     return {
         .versions = [this] { return versions(); },
-        .updatesSince = [this](const std::vector<DocumentVersion>& theirs) { return updatesSince(theirs); },
+        .updatesSince = [this](const std::vector<DocumentVersion>& peerVersions) { return updatesSince(peerVersions); },
         .apply = [this](const DocumentUpdate& update) { return applyUpdate(update); },
     };
 }
--- a/modules/replica/state_replica.h
+++ b/modules/replica/state_replica.h
@@ -1,5 +1,5 @@
-// One node's copy of what all nodes share: the configuration and the endpoints. It only moves forward.
-// Readers take an unchanging snapshot without locks.
+// This node's copy of the cluster state: the configuration and the endpoints of each zone. Versions never decrease. Thread-safe: updates
+// are serialized by a mutex, readers get an immutable snapshot without locking it.
 #pragma once
 
 #include "modules/declaration/configuration.h"
@@ -24,31 +24,33 @@
 
     std::shared_ptr<const SharedState> state() const;
 
-    // Each returns whether the state moved forward. Older and equal versions, and changes that leave a gap, are not taken.
+    // Apply a newer version; return whether the state changed. Older and equal versions are ignored, and so are configuration changes
+    // that don't directly follow the current version.
     bool applyConfiguration(const Configuration&);
     bool applyChange(const ConfigurationChange&);
     bool applyZone(const ZoneEndpoints&);
 
-    // For membership: what this node has, what another lacks, and taking what came.
+    // Synchronization with peers through MembershipServer: the document versions of this node, the updates that a peer with the given
+    // versions lacks, and applying an update received from a peer (returns whether the state changed).
     std::vector<DocumentVersion> versions() const;
-    std::vector<DocumentUpdate> updatesSince(const std::vector<DocumentVersion>& theirs) const;
+    std::vector<DocumentUpdate> updatesSince(const std::vector<DocumentVersion>& peerVersions) const;
     bool applyUpdate(const DocumentUpdate&);
     DocumentHooks hooks();
 
-    // Called after each step forward, outside of locks.
+    // Adds a function that is called after each change, without holding locks. Not thread-safe: call it before updates begin.
     void subscribe(std::function<void(const SharedState&)>);
 
 private:
     static constexpr std::size_t maximumRecentChanges = 512;
 
-    bool takeChanges(const std::string& payload);
+    bool applyChanges(const std::string& payload);
     DocumentUpdate configurationUpdate(std::uint64_t fromVersion, const Configuration& current) const;
     void publishLocked(SharedState);
     void notify();
 
     mutable std::mutex m_mutex;
     std::shared_ptr<const SharedState> m_state {};
-    std::deque<ConfigurationChange> m_recentChanges {}; // Consecutive, the last one made the current version.
+    std::deque<ConfigurationChange> m_recentChanges {}; // Consecutive changes; the last one led to the current version.
     std::vector<std::function<void(const SharedState&)>> m_subscribers {};
 };
 
--- a/modules/replica/state_watcher.cpp
+++ b/modules/replica/state_watcher.cpp
@@ -27,10 +27,10 @@
 
 void StateWatcher::start()
 {
-    m_threads.emplace_back([this] { loop([this] { return watchConfiguration(); }); });
-    m_threads.emplace_back([this] { loop([this] { return watchEndpoints(); }); });
-    m_threads.emplace_back([this] { loop([this] { return watchNotices(); }); });
-    m_threads.emplace_back([this] { loop([this] { return readInstanceList(); }); });
+    m_threads.emplace_back([this] { runWhileWatcher([this] { return watchConfiguration(); }); });
+    m_threads.emplace_back([this] { runWhileWatcher([this] { return watchEndpoints(); }); });
+    m_threads.emplace_back([this] { runWhileWatcher([this] { return watchNotices(); }); });
+    m_threads.emplace_back([this] { runWhileWatcher([this] { return readInstanceList(); }); });
 }
 
 void StateWatcher::stop()
@@ -39,7 +39,7 @@
         std::lock_guard lock(m_pauseMutex);
         m_stopping = true;
     }
-    m_pauseEnded.notify_all();
+    m_stopCondition.notify_all();
     for (auto& thread : m_threads) {
         if (thread.joinable())
             thread.join();
@@ -51,18 +51,18 @@
     auto view = m_membership.view();
     auto rank = [](const Member& member) { return fastHash(member.node + "|watcher"); };
     auto own = rank(view->self);
-    unsigned before = 0;
+    unsigned higherRanked = 0;
     for (const auto& it : view->members) {
-        bool counts = it.zone == view->self.zone && it.state == MemberState::Alive && !it.leaving;
-        if (counts && rank(it) < own)
-            ++before;
+        bool isEligible = it.zone == view->self.zone && it.state == MemberState::Alive && !it.leaving;
+        if (isEligible && rank(it) < own)
+            ++higherRanked;
     }
-    return before < m_options.watchersPerZone;
+    return higherRanked < m_options.watchersPerZone;
 }
 
-Milliseconds StateWatcher::jittered(Milliseconds limit) const
+Milliseconds StateWatcher::addJitter(Milliseconds limit) const
 {
-    // Full jitter: nodes that failed together do not come back together.
+    // Random delay between a quarter of `limit` and `limit`, so that nodes whose calls failed together don't retry together.
     thread_local std::mt19937_64 random { std::random_device {}() };
     return Milliseconds(std::uniform_int_distribution<std::int64_t>(limit.count() / 4, limit.count())(random));
 }
@@ -70,26 +70,26 @@
 void StateWatcher::pause(Milliseconds duration)
 {
     std::unique_lock lock(m_pauseMutex);
-    m_pauseEnded.wait_for(lock, duration, [this] { return m_stopping.load(); });
+    m_stopCondition.wait_for(lock, duration, [this] { return m_stopping.load(); });
 }
 
-void StateWatcher::loop(const Step& step)
+void StateWatcher::runWhileWatcher(const Step& step)
 {
-    auto backoff = m_options.firstBackoff;
+    auto backoff = m_options.initialBackoff;
     while (!m_stopping) {
         if (!isWatcher()) {
-            pause(m_options.firstBackoff);
+            pause(m_options.initialBackoff);
             continue;
         }
         auto result = step();
         m_metrics.increment("onyxnotch_platform_calls_total", { { "result", result ? "ok" : "error" } });
         if (result) {
-            backoff = m_options.firstBackoff;
+            backoff = m_options.initialBackoff;
             continue;
         }
         logEvent(LogLevel::Warning, "platform_call_failed", { { "error", result.error().message } });
-        pause(jittered(backoff));
-        backoff = std::min(backoff * 2, m_options.lastBackoff);
+        pause(addJitter(backoff));
+        backoff = std::min(backoff * 2, m_options.maximumBackoff);
     }
 }
 
@@ -97,9 +97,9 @@
 {
     auto version = m_replica.state()->configuration.version();
     if (!m_configurationRevision) {
-        // Revision first, then the content: what changes between the two is seen again.
+        // The revision is read before the content, so that a change between the two reads is reported by the next watch.
         auto batch = m_objects.watch(std::string(ConfigurationStore::changePrefix), ~std::uint64_t(0), Milliseconds(0));
-        m_reachable = batch.has_value();
+        m_isObjectServiceReachable = batch.has_value();
         if (!batch)
             return batch.error();
         BOOST_OUTCOME_TRY(configuration, ConfigurationStore(m_objects).load());
@@ -109,19 +109,19 @@
         return success();
     }
     auto batch = m_objects.watch(std::string(ConfigurationStore::changePrefix), *m_configurationRevision, m_options.watchWait);
-    m_reachable = batch.has_value();
+    m_isObjectServiceReachable = batch.has_value();
     if (!batch)
         return batch.error();
     if (!batch.value().objects.empty()) {
-        // The events only say that something is new; the versions are read in order, so that none is missed.
+        // Watch events only signal that there are changes; the changes are read in the order of their versions, so that none is missed.
         BOOST_OUTCOME_TRY(changes, ConfigurationStore(m_objects).changesAfter(version));
-        bool moved = false;
+        bool hasAdvanced = false;
         for (const auto& it : changes)
-            moved |= m_replica.applyChange(it);
-        if (moved)
+            hasAdvanced |= m_replica.applyChange(it);
+        if (hasAdvanced)
             m_membership.announceDocuments();
-        // A gap: older changes have been compacted away.
-        if (!moved && !changes.empty() && changes.front().version > m_replica.state()->configuration.version() + 1) {
+        // Changes in between are missing because the store was compacted: read the whole configuration again.
+        if (!hasAdvanced && !changes.empty() && changes.front().version > m_replica.state()->configuration.version() + 1) {
             m_configurationRevision.reset();
             return success();
         }
@@ -136,13 +136,13 @@
                                                     : m_objects.watch(std::string(endpointPrefix), *m_endpointRevision, m_options.watchWait);
     if (!batch)
         return batch.error();
-    bool moved = false;
+    bool hasAdvanced = false;
     for (const auto& it : batch.value().objects) {
         auto endpoints = decodeEndpoints(it.value);
         if (endpoints && !it.removed)
-            moved |= m_replica.applyZone({ .zone = it.key.substr(endpointPrefix.size()), .version = it.version, .endpoints = endpoints.value() });
+            hasAdvanced |= m_replica.applyZone({ .zone = it.key.substr(endpointPrefix.size()), .version = it.version, .endpoints = endpoints.value() });
     }
-    if (moved)
+    if (hasAdvanced)
         m_membership.announceDocuments();
     m_endpointRevision = batch.value().revision;
     return success();
@@ -150,9 +150,9 @@
 
 Status StateWatcher::watchNotices()
 {
-    BOOST_OUTCOME_TRY(notices, m_cloud.notices(m_lastNotice, m_options.watchWait));
+    BOOST_OUTCOME_TRY(notices, m_cloud.notices(m_lastNoticeSequence, m_options.watchWait));
     for (const auto& it : notices) {
-        m_lastNotice = std::max(m_lastNotice, it.sequence);
+        m_lastNoticeSequence = std::max(m_lastNoticeSequence, it.sequence);
         auto deadline = wallMilliseconds() + static_cast<std::uint64_t>(it.timeLeft.count());
         m_membership.announceMark({ .endpoint = it.instance, .deadlineWallMilliseconds = deadline, .source = LeavingSource::CloudNotice });
     }
@@ -163,11 +163,11 @@
 {
     BOOST_OUTCOME_TRY(instances, m_cloud.listedInstances());
     for (const auto& it : instances) {
-        // Only its word "leaving" counts: an instance that is not listed may be too new for the list.
+        // Only the `leaving` flag is used: an instance that is missing from the list may have started after the list was made.
         if (it.leaving)
             m_membership.announceMark({ .endpoint = it.id, .deadlineWallMilliseconds = 0, .source = LeavingSource::InstanceList });
     }
-    pause(m_options.listPeriod);
+    pause(m_options.instanceListPeriod);
     return success();
 }
 
--- a/modules/replica/state_watcher.h
+++ b/modules/replica/state_watcher.h
@@ -1,5 +1,6 @@
-// Reads what is new in the platform's services and puts it into the replica and the membership. Only the few nodes of a zone that
-// rank first do so; the others get it from them. Two nodes that both think they rank first do no harm.
+// Watches the platform's services (object service, cloud notices, instance list), applies changes to the replica and announces them
+// through the membership. Only `watchersPerZone` nodes of each zone watch, chosen by hash; the others receive updates from them. It is
+// harmless if more nodes consider themselves watchers, as updates are idempotent.
 #pragma once
 
 #include "modules/declaration/configuration_store.h"
@@ -13,10 +14,10 @@
 
 struct StateWatcherOptions {
     unsigned watchersPerZone { 2 };
-    Milliseconds watchWait { 5000 };
-    Milliseconds listPeriod { 2000 }; // Between reads of the instance list.
-    Milliseconds firstBackoff { 200 }; // After a failed call; doubled up to the last one, with jitter.
-    Milliseconds lastBackoff { 10000 };
+    Milliseconds watchWait { 5000 }; // Longest time that a watch call waits for a change.
+    Milliseconds instanceListPeriod { 2000 }; // Interval between two reads of the instance list.
+    Milliseconds initialBackoff { 200 }; // Delay after a failed call; doubles with each further failure up to `maximumBackoff`, with jitter.
+    Milliseconds maximumBackoff { 10000 };
 };
 
 class StateWatcher {
@@ -27,23 +28,23 @@
     StateWatcher& operator=(const StateWatcher&) = delete;
 
     void start();
-    // Returns after the calls that are waiting have ended, watchWait at most.
+    // Stops and joins the threads. Blocks until calls in progress have ended, up to `watchWait`.
     void stop();
-    // Whether the object service answered the last call of this node; true for a node that does not watch.
-    bool platformReachable() const { return m_reachable; }
+    // Whether the object service answered the last configuration watch of this node; true if this node hasn't watched yet.
+    bool isPlatformReachable() const { return m_isObjectServiceReachable; }
 
 private:
     using Step = std::function<Status()>;
 
     bool isWatcher() const;
-    // Runs `step` again and again while this node is a watcher, with backoff after failures.
-    void loop(const Step&);
+    // Repeats `step` until stop(), with backoff after failures. Pauses while this node isn't a watcher.
+    void runWhileWatcher(const Step&);
     void pause(Milliseconds);
     Status watchConfiguration();
     Status watchEndpoints();
     Status watchNotices();
     Status readInstanceList();
-    Milliseconds jittered(Milliseconds) const;
+    Milliseconds addJitter(Milliseconds) const;
 
     StateWatcherOptions m_options;
     const ObjectClient& m_objects;
@@ -52,13 +53,14 @@
     MembershipServer& m_membership;
     Metrics& m_metrics;
     std::atomic<bool> m_stopping { false };
-    std::atomic<bool> m_reachable { true };
-    // Where the next watch goes on; empty: read everything first. An empty store has revision 0, so 0 cannot say that.
+    std::atomic<bool> m_isObjectServiceReachable { true };
+    // Revision from which the next watch continues; empty if everything must be read first. 0 can't stand for that: it is the revision of
+    // an empty store.
     std::optional<std::uint64_t> m_configurationRevision {};
     std::optional<std::uint64_t> m_endpointRevision {};
-    std::uint64_t m_lastNotice { 0 };
+    std::uint64_t m_lastNoticeSequence { 0 };
     std::mutex m_pauseMutex;
-    std::condition_variable m_pauseEnded;
+    std::condition_variable m_stopCondition;
     std::vector<std::thread> m_threads {};
 };
 
