--- a/modules/node/node.cpp
+++ b/modules/node/node.cpp
@@ -11,7 +11,7 @@
     {
         return Member {
             .node = options.instance + (options.role == MemberRole::Gateway ? ".gateway" : ".controller"),
-            // A later start has a higher one, as long as the instance's clock does not go back over a restart.
+            // Must be higher after a restart; holds as long as the instance's clock doesn't go back across the restart.
             .incarnation = wallMilliseconds(),
             .role = options.role,
             .region = options.region,
--- a/modules/node/node.h
+++ b/modules/node/node.h
@@ -1,4 +1,5 @@
-// What every daemon has in common: membership, the replica of the shared state, the watchers of the platform, the peer port.
+// Components that gateway and controller processes share: membership, the replica of the cluster state, the watcher of the platform's
+// services, and the server for messages from peers. Owns their lifetimes and threads.
 #pragma once
 
 #include "core/metrics.h"
@@ -22,13 +23,13 @@
     std::string zone {};
     std::string region {};
     MemberRole role { MemberRole::Gateway };
-    std::string host { "127.0.0.1" }; // Address that the process listens on.
-    std::string advertisedHost {}; // Address that others use; empty for `host`.
-    std::uint16_t peerPort { 0 };
-    std::uint16_t gossipPort { 0 };
-    std::uint16_t advertisedPeerPort { 0 }; // 0 for the bound ones.
-    std::uint16_t advertisedGossipPort { 0 };
-    std::vector<Address> seeds {};
+    std::string host { "127.0.0.1" }; // Host address that the process listens on.
+    std::string advertisedHost {}; // Host address that other nodes connect to; if empty, `host`.
+    std::uint16_t peerPort { 0 }; // Port to listen on for peer messages; 0: chosen by the system.
+    std::uint16_t gossipPort { 0 }; // Port to listen on for membership gossip; 0: chosen by the system.
+    std::uint16_t advertisedPeerPort { 0 }; // Port that other nodes connect to for peer messages; 0: the bound port.
+    std::uint16_t advertisedGossipPort { 0 }; // Port that other nodes send gossip to; 0: the bound port.
+    std::vector<Address> seeds {}; // Peer addresses (host and peer port) of nodes through which this node joins the cluster.
     PlatformAddresses platform {};
     MembershipOptions membership {};
     StateWatcherOptions watcher {};
@@ -37,6 +38,7 @@
 
 class Node {
 public:
+    // Handles a peer message that isn't about membership; returns nothing for unknown message types.
     using PeerHandler = std::function<std::optional<Frame>(const Frame&)>;
 
     explicit Node(const NodeOptions&);
@@ -44,7 +46,8 @@
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    // Binds, joins the other nodes and starts the watchers. `httpPort` goes into the node's description.
+    // Binds the ports, joins the cluster and starts watching the platform. `httpPort` is the HTTP port to advertise to other nodes.
+    // Fails if a port can't be bound; succeeds even if no seed answers.
     Status start(std::uint16_t httpPort, PeerHandler);
     void stop();
 
