--- a/modules/gateway/request_server.cpp
+++ b/modules/gateway/request_server.cpp
@@ -20,7 +20,7 @@
     constexpr Milliseconds suspectUpdateTimeout { 500 };
     // Interval at which blocked requests are sent again, for nodes that have just started or missed an update.
     constexpr Milliseconds blockedResendPeriod { 1000 };
-    constexpr Milliseconds successorWait { 1500 };
+    constexpr Milliseconds successorTimeout { 1500 };
     constexpr Milliseconds successorPoll { 20 };
     constexpr std::size_t maximumPlainTraces = 10000;
     constexpr Milliseconds minimumRetryAfter { 100 };
@@ -77,7 +77,7 @@
 {
     // The ledgers are being handed over, which takes a few messages. If the reply to them is lost, the successor still announces
     // through the membership that it has the ledgers.
-    auto limit = steadyNow() + successorWait;
+    auto limit = steadyNow() + successorTimeout;
     while (steadyNow() < limit) {
         if (auto successor = m_handover.successor())
             return successor;
@@ -96,7 +96,7 @@
         decision.error = unknownOutcome("this node is leaving and its successor is not known");
 }
 
-RequestServer::TicketLocation RequestServer::locate(const Ticket& ticket, bool forwarded) const
+RequestServer::TicketLocation RequestServer::locateTicket(const Ticket& ticket, bool forwarded) const
 {
     if (m_ledgers.answersFor(ticket)) {
         bool isHandedOver = m_ledgers.given();
@@ -115,13 +115,13 @@
     auto ticket = parseTicket(text);
     if (!ticket)
         return { .error = refusal(HttpStatus::badRequest, ticket.error().message) };
-    auto place = locate(ticket.value(), forwarded);
-    if (place.isLocal)
+    auto location = locateTicket(ticket.value(), forwarded);
+    if (location.isLocal)
         return decideLocalTicket(client, ticket.value(), repeatable);
-    if (place.isHandedOver)
+    if (location.isHandedOver)
         return { .isHandedOver = true };
-    if (place.forwardTo)
-        return { .forwardTo = place.forwardTo };
+    if (location.forwardTo)
+        return { .forwardTo = location.forwardTo };
     if (repeatable)
         return { .runAsNew = true };
     return { .error = unknownOutcome("the node that answers for this ticket cannot be asked") };
@@ -138,7 +138,7 @@
     case LedgerVerdict::Run:
         return { .requestId = ticket.text() };
     case LedgerVerdict::Known:
-        return decideExisting(*decision.value().entry, repeatable);
+        return decideByLedgerEntry(*decision.value().entry, repeatable);
     case LedgerVerdict::Refused:
         return { .error = refusal(HttpStatus::serviceUnavailable, "this ticket was refused before", m_options.defaultRetryAfter) };
     case LedgerVerdict::Full:
@@ -153,7 +153,7 @@
     return { .error = unknownOutcome("not decided") };
 }
 
-RequestServer::TicketDecision RequestServer::decideExisting(const LedgerEntry& entry, bool repeatable)
+RequestServer::TicketDecision RequestServer::decideByLedgerEntry(const LedgerEntry& entry, bool repeatable)
 {
     bool isLocal = entry.holderNode == m_options.node && entry.holderIncarnation == m_options.incarnation;
     if (isLocal || entry.outcome != RequestOutcome::Running)
@@ -276,7 +276,7 @@
     acceptance.requestId = decision.requestId;
     if (acceptance.error || acceptance.forwardTo)
         return acceptance;
-    auto refused = suspicionError(digestOf(client.team, chat.service, {}, chat.prompt));
+    auto refused = suspectedRequestError(digestOf(client.team, chat.service, {}, chat.prompt));
     if (!refused)
         refused = admissionError(client);
     if (!refused)
@@ -316,16 +316,16 @@
         acceptance.error = refusal(HttpStatus::notFound, "no such request");
         return acceptance;
     }
-    auto place = locate(ticket.value(), forwarded);
-    acceptance.forwardTo = place.isHandedOver && !forwarded ? waitForSuccessor() : place.forwardTo;
-    auto entry = place.isLocal ? m_ledgers.find(requestId) : std::nullopt;
+    auto location = locateTicket(ticket.value(), forwarded);
+    acceptance.forwardTo = location.isHandedOver && !forwarded ? waitForSuccessor() : location.forwardTo;
+    auto entry = location.isLocal ? m_ledgers.find(requestId) : std::nullopt;
     if (entry) {
-        auto existing = decideExisting(*entry, false);
+        auto existing = decideByLedgerEntry(*entry, false);
         acceptance.forwardTo = forwarded ? std::nullopt : existing.forwardTo;
     }
     if (!acceptance.forwardTo) {
         acceptance.error = unknownOutcome("the request is not known here any more");
-        if (place.isLocal && !entry)
+        if (location.isLocal && !entry)
             acceptance.error = RequestError { .outcome = RequestOutcome::Unknown, .httpStatus = HttpStatus::notFound, .reason = "no such request, or one too old to tell" };
         if (entry && entry->outcome == RequestOutcome::NotRun)
             acceptance.error = refusal(HttpStatus::serviceUnavailable, "the request was refused", m_options.defaultRetryAfter);
@@ -379,7 +379,7 @@
         acceptanceLock.unlock();
         return recordedPlainAnswer(*decision.existing);
     }
-    auto refused = suspicionError(digestOf(client.team, request.service, request.path, request.body));
+    auto refused = suspectedRequestError(digestOf(client.team, request.service, request.path, request.body));
     if (!refused)
         refused = admissionError(client);
     if (refused) {
@@ -501,7 +501,7 @@
     }
 }
 
-std::optional<RequestError> RequestServer::suspicionError(const RequestDigest& digest)
+std::optional<RequestError> RequestServer::suspectedRequestError(const RequestDigest& digest)
 {
     return m_suspects.use([&](SuspectBook& book) -> std::optional<RequestError> {
         auto now = steadyNow();
--- a/modules/gateway/request_server.h
+++ b/modules/gateway/request_server.h
@@ -21,7 +21,7 @@
     LedgerBookOptions ledgers {};
     HandoverOptions handover {};
     double retriesPerRequest { 0.2 }; // Retry budget of this node: allowed retries per admitted request.
-    double retryBurst { 10 };
+    double retryBurst { 10 }; // Largest number of retries that the budget can accumulate.
     // A model request is refused if no engine is idle and its expected time to first token exceeds this fraction of the service's
     // objective; 0 turns the check off. Less than 1, because the estimate is too low for about half of the requests.
     // Teams with a priority above 0 are exempt.
@@ -119,31 +119,37 @@
         bool runAsNew { false }; // The outcome of the ticket's request is unknown, but the service allows repeats: run under a new ticket.
     };
 
-    TicketLocation locate(const Ticket&, bool forwarded) const;
+    TicketLocation locateTicket(const Ticket&, bool forwarded) const;
     TicketDecision decideTicket(const AuthenticatedClient&, const std::string& ticket, bool repeatable, bool forwarded);
     TicketDecision decideLocalTicket(const AuthenticatedClient&, const Ticket&, bool repeatable);
-    TicketDecision decideExisting(const LedgerEntry&, bool repeatable);
+    TicketDecision decideByLedgerEntry(const LedgerEntry&, bool repeatable);
+    // Issues a ticket and enters it in the ledger. `mayHaveRunElsewhere`: failures are reported as an unknown outcome, not as not run.
     TicketDecision admitUnderNewTicket(const AuthenticatedClient&, bool mayHaveRunElsewhere);
+    // Refuses a request that exceeds the team's request rate or this node's limit on running requests.
     std::optional<RequestError> admissionError(const AuthenticatedClient&);
     // Refuses a model request early if it is expected to miss its service's objective for the first token.
     std::optional<RequestError> latenessError(const AuthenticatedClient&, const struct ChatRequest&) const;
     std::optional<RequestError> permissionError(const AuthenticatedClient&, const std::string& service, ServiceType) const;
     // Waits for the successor of a ledger that is being handed over. Must be called without holding the acceptance lock.
     std::optional<Member> waitForSuccessor() const;
+    // Sets where to forward the request to, or an error if that isn't known.
     void resolveHandedOverTicket(TicketDecision&, bool forwarded) const;
     Acceptance findOrLocate(const std::string& requestId, bool forwarded);
     PlainAnswer runPlainLocally(PlainRequest, const std::string& requestId);
+    // Result of a call that was admitted before, from the ledger. Waits for it if the call is still running.
     PlainAcceptance recordedPlainAnswer(const LedgerEntry&);
 
     void startThread(const std::shared_ptr<ActiveRequest>&);
     void runRequest(const std::shared_ptr<ActiveRequest>&);
     HandoverReplyMessage adoptRequests(const RequestBatchMessage&);
+    // Interrupts requests on endpoints that are about to shut down, so that their runners move them to other endpoints.
     void interruptOnDrainingEndpoints();
     void expire();
     // Sends this gateway's knowledge about suspected requests (during which endpoints crashed) to a few other gateways, which relay it.
     void sendSuspectUpdate();
     void applySuspectUpdate(const SuspectNews&);
-    std::optional<RequestError> suspicionError(const RequestDigest&);
+    // Refuses a request that is blocked, or suspected and already running, because endpoints crashed while they processed it.
+    std::optional<RequestError> suspectedRequestError(const RequestDigest&);
     void abandonPlainCalls();
 
     RequestServerOptions m_options;
--- a/modules/placement/controller.cpp
+++ b/modules/placement/controller.cpp
@@ -157,7 +157,7 @@
     auto options = m_options.zone;
     options.zone = name;
     Zone zone {
-        .lease = std::make_unique<LeaseKeeper>(m_node.objects(), "zone-" + name, leaseHolderName(m_node.identity()), m_options.lease),
+        .lease = std::make_unique<LeaseManager>(m_node.objects(), "zone-" + name, leaseHolderName(m_node.identity()), m_options.lease),
         .controller = std::make_unique<ZoneController>(options, m_node.objects(), m_node.cloud(), m_node.membership(), m_node.metrics()),
     };
     return m_zones.emplace(name, std::move(zone)).first->second;
--- a/modules/placement/controller.h
+++ b/modules/placement/controller.h
@@ -39,7 +39,7 @@
 private:
     // The lease of an availability zone, and the controller that acts for the zone while this process holds the lease.
     struct Zone {
-        std::unique_ptr<LeaseKeeper> lease;
+        std::unique_ptr<LeaseManager> lease;
         std::unique_ptr<ZoneController> controller;
         bool isHeld { false };
     };
@@ -56,7 +56,7 @@
     ControllerOptions m_options;
     Node m_node;
     HttpServer m_http;
-    LeaseKeeper m_planLease;
+    LeaseManager m_planLease;
     std::map<std::string, Zone> m_zones {};
     std::vector<Offer> m_offers {};
     std::map<Offer, SteadyTime> m_refusedAt {};
--- a/modules/placement/lease.h
+++ b/modules/placement/lease.h
@@ -1,5 +1,5 @@
 // State machine of a lease that is stored as an object in the platform's object service. Decides when to write what; does no I/O
-// (LeaseKeeper does). Not thread-safe. Times are passed in and come from this process's monotonic clock only, so the nodes' clocks need
+// (LeaseManager does). Not thread-safe. Times are passed in and come from this process's monotonic clock only, so the nodes' clocks need
 // not be synchronized.
 #pragma once
 
--- a/modules/placement/lease_keeper.cpp
+++ b/modules/placement/lease_manager.cpp
@@ -1,10 +1,10 @@
-#include "modules/placement/lease_keeper.h"
+#include "modules/placement/lease_manager.h"
 
 #include "core/log.h"
 
 namespace Onyxnotch {
 
-LeaseKeeper::LeaseKeeper(const ObjectClient& objects, const std::string& name, std::string self, const LeaseOptions& options)
+LeaseManager::LeaseManager(const ObjectClient& objects, const std::string& name, std::string self, const LeaseOptions& options)
     : m_objects(objects)
     , m_key("leases/" + name)
     , m_options(options)
@@ -12,7 +12,7 @@
 {
 }
 
-bool LeaseKeeper::step(bool mayAcquire)
+bool LeaseManager::step(bool mayAcquire)
 {
     std::lock_guard lock(m_mutex);
     auto now = steadyNow();
@@ -25,7 +25,7 @@
     return m_machine.holds(steadyNow());
 }
 
-void LeaseKeeper::read()
+void LeaseManager::read()
 {
     auto sentAt = steadyNow();
     m_nextReadAt = sentAt + m_options.renewEvery / 3;
@@ -45,7 +45,7 @@
     m_isObserved = true;
 }
 
-void LeaseKeeper::write(const LeaseWrite& leaseWrite)
+void LeaseManager::write(const LeaseWrite& leaseWrite)
 {
     auto heldBefore = m_machine.holds(steadyNow());
     auto sentAt = steadyNow();
@@ -61,7 +61,7 @@
         logEvent(LogLevel::Info, "lease_taken", { { "lease", m_key }, { "fence", leaseWrite.record.fence } });
 }
 
-void LeaseKeeper::release()
+void LeaseManager::release()
 {
     std::lock_guard lock(m_mutex);
     if (!m_machine.holds(steadyNow()))
@@ -76,25 +76,25 @@
     write(leaseWrite);
 }
 
-bool LeaseKeeper::holds() const
+bool LeaseManager::holds() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.holds(steadyNow());
 }
 
-Milliseconds LeaseKeeper::left() const
+Milliseconds LeaseManager::left() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.left(steadyNow());
 }
 
-std::uint64_t LeaseKeeper::fence() const
+std::uint64_t LeaseManager::fence() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.fence();
 }
 
-SteadyTime LeaseKeeper::acquiredAt() const
+SteadyTime LeaseManager::acquiredAt() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.acquiredAt();
--- a/modules/placement/lease_keeper.h
+++ b/modules/placement/lease_manager.h
@@ -8,9 +8,9 @@
 namespace Onyxnotch {
 
 // Thread-safe.
-class LeaseKeeper {
+class LeaseManager {
 public:
-    LeaseKeeper(const ObjectClient&, const std::string& name, std::string self, const LeaseOptions&);
+    LeaseManager(const ObjectClient&, const std::string& name, std::string self, const LeaseOptions&);
 
     // Sends the read or write that is due: at most one call to the object service, which blocks. If `mayAcquire` is false, a held lease
     // is renewed but not acquired anew. Returns whether the lease is held.
--- a/modules/placement/zone_controller.cpp
+++ b/modules/placement/zone_controller.cpp
@@ -37,7 +37,7 @@
     return success();
 }
 
-Status ZoneController::saveStatus(const LeaseKeeper& lease)
+Status ZoneController::saveStatus(const LeaseManager& lease)
 {
     auto text = statusToJson(m_status);
     if (text == m_savedStatusText && m_statusVersion != 0)
@@ -78,7 +78,7 @@
     }
 }
 
-Status ZoneController::reconcile(const PlacementPlan& plan, const LeaseKeeper& lease)
+Status ZoneController::reconcile(const PlacementPlan& plan, const LeaseManager& lease)
 {
     if (!m_isStatusLoaded) {
         BOOST_OUTCOME_TRYV(loadStatus());
@@ -137,7 +137,7 @@
     return hasChanged;
 }
 
-bool ZoneController::startIntendedSlots(const LeaseKeeper& lease)
+bool ZoneController::startIntendedSlots(const LeaseManager& lease)
 {
     auto slots = slotsInState(SlotState::Intended);
     if (slots.empty() || !lease.holds())
@@ -158,7 +158,7 @@
     return true;
 }
 
-bool ZoneController::maySendLoadOrder(const SlotStatus& status, const LeaseKeeper& lease) const
+bool ZoneController::maySendLoadOrder(const SlotStatus& status, const LeaseManager& lease) const
 {
     if (status.slot.checksFences)
         return lease.holds();
@@ -168,7 +168,7 @@
     return earlierOrdersEnded && lease.left() > m_options.longestOrder;
 }
 
-bool ZoneController::loadStartedSlots(const LeaseKeeper& lease)
+bool ZoneController::loadStartedSlots(const LeaseManager& lease)
 {
     auto slots = slotsInState(SlotState::Started);
     std::erase_if(slots, [&](const SlotStatus* it) { return !maySendLoadOrder(*it, lease); });
@@ -186,7 +186,7 @@
     return true;
 }
 
-Status ZoneController::publishEndpoints(const LeaseKeeper& lease)
+Status ZoneController::publishEndpoints(const LeaseManager& lease)
 {
     std::vector<Endpoint> endpoints;
     for (const auto& it : m_status) {
@@ -228,7 +228,7 @@
     return success();
 }
 
-Status ZoneController::removeEndedSlots(const LeaseKeeper& lease)
+Status ZoneController::removeEndedSlots(const LeaseManager& lease)
 {
     BOOST_OUTCOME_TRY(instances, m_cloud.instances());
     auto exists = [&](const std::string& id) { return std::any_of(instances.begin(), instances.end(), [&](const CloudInstance& it) { return it.id == id; }); };
@@ -250,7 +250,7 @@
     return terminateLeakedInstances(instances, lease);
 }
 
-Status ZoneController::terminateLeakedInstances(const std::vector<CloudInstance>& instances, const LeaseKeeper& lease)
+Status ZoneController::terminateLeakedInstances(const std::vector<CloudInstance>& instances, const LeaseManager& lease)
 {
     for (const auto& it : instances) {
         bool isManaged = it.zone == m_options.zone && it.clientToken.rfind(m_options.tokenPrefix, 0) == 0;
--- a/modules/placement/zone_controller.h
+++ b/modules/placement/zone_controller.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "core/metrics.h"
-#include "modules/placement/lease_keeper.h"
+#include "modules/placement/lease_manager.h"
 #include "modules/placement/placement_plan.h"
 #include "modules/replica/endpoint_catalog.h"
 #include "servers/engine/engine_client.h"
@@ -28,24 +28,24 @@
 
     // Executes one round. `lease` must be held; it is checked again before each externally visible step.
     // Fails if a call to the cloud or the object service fails, or if the lease expires.
-    Status reconcile(const PlacementPlan&, const LeaseKeeper& lease);
+    Status reconcile(const PlacementPlan&, const LeaseManager& lease);
 
     static std::string statusKey(const std::string& zone) { return "status/zones/" + zone; }
     static std::string endpointsKey(const std::string& zone) { return "status/endpoints/" + zone; }
 
 private:
     Status loadStatus();
-    Status saveStatus(const LeaseKeeper&);
-    Status publishEndpoints(const LeaseKeeper&);
+    Status saveStatus(const LeaseManager&);
+    Status publishEndpoints(const LeaseManager&);
     bool applyPlan(const PlacementPlan&);
     bool applyDrainMarks();
-    bool startIntendedSlots(const LeaseKeeper&);
-    bool loadStartedSlots(const LeaseKeeper&);
-    Status removeEndedSlots(const LeaseKeeper&);
-    Status terminateLeakedInstances(const std::vector<CloudInstance>&, const LeaseKeeper&);
+    bool startIntendedSlots(const LeaseManager&);
+    bool loadStartedSlots(const LeaseManager&);
+    Status removeEndedSlots(const LeaseManager&);
+    Status terminateLeakedInstances(const std::vector<CloudInstance>&, const LeaseManager&);
     // Whether a load order may be sent to this slot's engine now. For an engine that doesn't check fences, the order must end before the
     // lease does, and orders of the previous holder must have ended.
-    bool maySendLoadOrder(const SlotStatus&, const LeaseKeeper&) const;
+    bool maySendLoadOrder(const SlotStatus&, const LeaseManager&) const;
     void runParallel(const std::vector<SlotStatus*>&, const std::function<void(SlotStatus&)>&) const;
     std::vector<SlotStatus*> slotsInState(SlotState);
 
--- a/tests/modules/placement/test_lease.cpp
+++ b/tests/modules/placement/test_lease.cpp
@@ -6,15 +6,15 @@
 namespace {
 
 // Simulates the object service for the one object that stores the lease.
-struct Store {
+struct ObjectService {
     std::optional<LeaseRecord> record;
     std::uint64_t version { 0 };
 
     // Executes the write if its condition on the object's version is met; returns whether it did.
     bool write(const LeaseWrite& leaseWrite)
     {
-        bool holds = leaseWrite.kind == LeaseWriteKind::Create ? !record : record && version == leaseWrite.version;
-        if (!holds)
+        bool isConditionMet = leaseWrite.kind == LeaseWriteKind::Create ? !record : record && version == leaseWrite.version;
+        if (!isConditionMet)
             return false;
         record = leaseWrite.record;
         ++version;
@@ -32,30 +32,30 @@
     Tests::checkProperty("exclusive", [](const std::vector<std::pair<unsigned char, unsigned char>>& events) {
         LeaseOptions options { .duration = Milliseconds(1000), .renewEvery = Milliseconds(300), .clockRateBound = 0.05 };
         static constexpr std::array<double, 3> rates { 0.98, 1.0, 1.02 };
-        Store store;
+        ObjectService service;
         std::vector<LeaseMachine> machines;
         for (const auto* name : { "a", "b", "c" })
             machines.emplace_back(name, options);
         double now = 0;
         auto clockOf = [&](std::size_t n) { return SteadyTime() + std::chrono::microseconds(static_cast<std::int64_t>(now * 1000 * rates[n])); };
-        for (const auto& [action, which] : events) {
-            auto n = which % 3U;
+        for (const auto& [action, argument] : events) {
+            auto n = argument % 3U;
             auto& machine = machines[n];
-            auto sent = clockOf(n);
+            auto sentAt = clockOf(n);
             switch (action % 4) {
             case 0:
-                machine.observe(store.record, store.version, sent, clockOf(n));
+                machine.observe(service.record, service.version, sentAt, clockOf(n));
                 break;
             case 1:
             case 2: {
-                auto leaseWrite = machine.next(sent);
+                auto leaseWrite = machine.next(sentAt);
                 if (!leaseWrite)
                     break;
                 // The write takes up to 63 ms, and its answer may be lost.
-                now += which % 64;
-                bool isWritten = store.write(*leaseWrite);
-                if (isWritten && which % 5 != 0)
-                    machine.written(*leaseWrite, store.version, sent);
+                now += argument % 64;
+                bool isWritten = service.write(*leaseWrite);
+                if (isWritten && argument % 5 != 0)
+                    machine.written(*leaseWrite, service.version, sentAt);
                 else
                     machine.forget();
                 break;
--- a/tests/modules/placement/test_placement_plan.cpp
+++ b/tests/modules/placement/test_placement_plan.cpp
@@ -91,8 +91,8 @@
             for (const auto& it : plan.slots)
                 input.status[it.id] = { .slot = it, .state = static_cast<SlotState>(state % 5) };
             for (const auto& it : plan.slots) {
-                bool kept = std::any_of(input.previous.slots.begin(), input.previous.slots.end(), [&](const PlannedSlot& before) { return before.id == it.id; });
-                RC_ASSERT(kept || ids.insert(it.id).second);
+                bool isKept = std::any_of(input.previous.slots.begin(), input.previous.slots.end(), [&](const PlannedSlot& before) { return before.id == it.id; });
+                RC_ASSERT(isKept || ids.insert(it.id).second);
             }
         }
     });
