--- a/modules/gateway/gateway.h
+++ b/modules/gateway/gateway.h
@@ -37,6 +37,7 @@
     Address peerAddress() const { return m_node.peerAddress(); }
 
 private:
+    // Thread function: polls the cloud for reclaim notices about this instance.
     void watchReclaimNotices();
     void setReclaimDeadline(Milliseconds timeLeft);
     void pollLoads();
--- a/modules/gateway/request_server.h
+++ b/modules/gateway/request_server.h
@@ -77,6 +77,7 @@
     Acceptance find(const AuthenticatedClient&, const std::string& requestId, bool forwarded);
     // Same as find(), but for a request of any team; for operators.
     Acceptance findForOperator(const std::string& requestId, bool forwarded);
+    // Issues a ticket with which the client can send a request, and repeat it without running it twice.
     std::string issueTicket(const AuthenticatedClient&);
     // HTTP addresses of up to `count` randomly chosen gateways that accept requests, spread over the availability zones.
     std::vector<std::string> addresses(std::size_t count) const;
@@ -99,6 +100,7 @@
     std::size_t ledgerEntries() const { return m_ledgers.entryCount(); }
     // HTTP addresses of the node to which a request was handed over; empty if not known.
     std::vector<std::string> newAddressesOf(const std::string& requestId) const;
+    // Recorded events of a call to a plain service, for operators.
     std::vector<TraceEntry> plainTrace(const std::string& requestId) const;
 
 private:
@@ -122,6 +124,7 @@
     TicketLocation locateTicket(const Ticket&, bool forwarded) const;
     TicketDecision decideTicket(const AuthenticatedClient&, const std::string& ticket, bool repeatable, bool forwarded);
     TicketDecision decideLocalTicket(const AuthenticatedClient&, const Ticket&, bool repeatable);
+    // Decides about a request that was admitted before: answer from the ledger entry, forward to the node that runs it, or run it again.
     TicketDecision decideByLedgerEntry(const LedgerEntry&, bool repeatable);
     // Issues a ticket and enters it in the ledger. `mayHaveRunElsewhere`: failures are reported as an unknown outcome, not as not run.
     TicketDecision admitUnderNewTicket(const AuthenticatedClient&, bool mayHaveRunElsewhere);
@@ -141,9 +144,11 @@
 
     void startThread(const std::shared_ptr<ActiveRequest>&);
     void runRequest(const std::shared_ptr<ActiveRequest>&);
+    // Takes over requests from a gateway that shuts down, and continues those that were still running.
     HandoverReplyMessage adoptRequests(const RequestBatchMessage&);
     // Interrupts requests on endpoints that are about to shut down, so that their runners move them to other endpoints.
     void interruptOnDrainingEndpoints();
+    // Removes expired tickets and finished requests, cancels requests whose answers no client reads, and updates gauges.
     void expire();
     // Sends this gateway's knowledge about suspected requests (during which endpoints crashed) to a few other gateways, which relay it.
     void sendSuspectUpdate();
--- a/modules/placement/controller.h
+++ b/modules/placement/controller.h
@@ -46,8 +46,11 @@
 
     void addRoutes();
     void runRound();
+    // Whether this controller is among the `candidatesPerLease` ones, chosen by hash, that compete for the lease.
     bool isCandidate(const std::string& lease);
+    // Computes the placement plan and stores it if it changed.
     Status plan();
+    // Renews or acquires the zones' leases and reconciles the zones whose lease is held.
     Status runZones();
     Status compactConfiguration();
     Zone& findOrCreateZone(const std::string& name);
--- a/modules/placement/lease.h
+++ b/modules/placement/lease.h
@@ -15,7 +15,8 @@
 // The value of a lease object in the object service.
 struct LeaseRecord {
     std::string holder {}; // Name of the holding process; empty if the lease has been released.
-    std::uint64_t fence { 0 }; // Fencing token: rises by one with each acquisition. Orders carry it, so that receivers can refuse orders of earlier holders.
+    // Fencing token: rises by one with each acquisition. Orders carry it, so that receivers can refuse orders of earlier holders.
+    std::uint64_t fence { 0 };
     std::uint64_t renewals { 0 }; // Number of renewals since the acquisition.
     std::uint64_t life { 0 }; // Incarnation (process start) of the holder; 0 if the holder doesn't state one.
     std::string note {}; // Decisions of holders that later holders must keep to; copied when the lease changes hands.
@@ -27,8 +28,8 @@
 Result<LeaseRecord> leaseFromJson(const std::string&);
 
 struct LeaseOptions {
-    Milliseconds duration { 10000 };
-    Milliseconds renewEvery { 3000 };
+    Milliseconds duration { 10000 }; // After this time without a renewal another node may acquire the lease.
+    Milliseconds renewEvery { 3000 }; // Interval between two renewals by the holder.
     // Largest assumed difference between clock rates, as a fraction. A holder stops this fraction of `duration` early, and another node
     // waits this fraction longer before it acquires an expired lease.
     double clockRateBound { 0.05 };
@@ -45,7 +46,8 @@
 // A conditional write that is to be sent to the object service.
 struct LeaseWrite {
     LeaseWriteKind kind { LeaseWriteKind::Update };
-    std::uint64_t version { 0 }; // Version of the object that this write replaces; the write fails if the object has another version. Unused for Create.
+    // Version of the object that this write replaces; the write fails if the object has another version. Unused for Create.
+    std::uint64_t version { 0 };
     LeaseRecord record {};
 
     auto operator<=>(const LeaseWrite&) const = default;
@@ -53,6 +55,7 @@
 
 class LeaseMachine {
 public:
+    // `self` is the name that this process writes as the holder.
     LeaseMachine(std::string self, const LeaseOptions&);
 
     auto operator<=>(const LeaseMachine&) const = default;
@@ -75,6 +78,7 @@
     // Reports that a write failed or that its answer was lost: the lease must be read again before the next write.
     void forget();
 
+    // Whether this process holds the lease and its last renewal hasn't expired.
     bool holds(SteadyTime now) const;
     // Remaining time for which this process may act as the holder; zero if the lease isn't held.
     Milliseconds left(SteadyTime now) const;
--- a/modules/placement/zone_controller.h
+++ b/modules/placement/zone_controller.h
@@ -14,10 +14,13 @@
 
 struct ZoneControllerOptions {
     std::string zone {};
-    std::string tokenPrefix { "onyxnotch-" }; // Prefix of the client tokens of started instances. Instances of the same cloud account without it are never ended.
-    Milliseconds longestOrder { 8000 }; // Time limit of a load order: an engine that hasn't answered within this time has dropped the order.
+    // Prefix of the client tokens of started instances. Instances of the same cloud account without it are never ended.
+    std::string tokenPrefix { "onyxnotch-" };
+    // Time limit of a load order: an engine that hasn't answered within this time has dropped the order.
+    Milliseconds longestOrder { 8000 };
     Milliseconds longestTermination { 2500 }; // Upper bound for the duration of the cloud's call that ends an instance.
-    Milliseconds retireTime { 30000 }; // Time for running streams to finish before the instance of a slot that was removed from the plan is ended.
+    // Time for running streams to finish before the instance of a slot that was removed from the plan is ended.
+    Milliseconds retireTime { 30000 };
     unsigned parallelism { 8 }; // Maximum number of concurrent cloud starts or load orders.
     std::size_t maximumSlots { 2000 };
 };
@@ -37,11 +40,17 @@
     Status loadStatus();
     Status saveStatus(const LeaseManager&);
     Status publishEndpoints(const LeaseManager&);
+    // Adds slots that are new in the plan and retires those that are no longer in it. Returns whether the status changed.
     bool applyPlan(const PlacementPlan&);
+    // Marks slots as leaving whose instances were announced as draining or reclaimed. Returns whether the status changed.
     bool applyDrainMarks();
+    // Starts instances for intended slots. Returns whether any call was made.
     bool startIntendedSlots(const LeaseManager&);
+    // Orders engines of started slots to load their model. Returns whether any order was sent.
     bool loadStartedSlots(const LeaseManager&);
+    // Ends the instances of retired slots, and removes slots that left the plan and whose instances have ended.
     Status removeEndedSlots(const LeaseManager&);
+    // Ends instances of this zone that carry the client token prefix but belong to no slot.
     Status terminateLeakedInstances(const std::vector<CloudInstance>&, const LeaseManager&);
     // Whether a load order may be sent to this slot's engine now. For an engine that doesn't check fences, the order must end before the
     // lease does, and orders of the previous holder must have ended.
--- a/modules/replica/state_watcher.h
+++ b/modules/replica/state_watcher.h
@@ -16,7 +16,8 @@
     unsigned watchersPerZone { 2 };
     Milliseconds watchWait { 5000 }; // Longest time that a watch call waits for a change.
     Milliseconds instanceListPeriod { 2000 }; // Interval between two reads of the instance list.
-    Milliseconds initialBackoff { 200 }; // Delay after a failed call; doubles with each further failure up to `maximumBackoff`, with jitter.
+    // Delay after a failed call; doubles with each further failure up to `maximumBackoff`, with jitter.
+    Milliseconds initialBackoff { 200 };
     Milliseconds maximumBackoff { 10000 };
 };
 
