--- a/modules/placement/lease_keeper.cpp
+++ b/modules/placement/lease_manager.cpp
@@ -1,10 +1,10 @@
-#include "modules/placement/lease_keeper.h"
+#include "modules/placement/lease_manager.h"
 
 #include "core/log.h"
 
 namespace Onyxnotch {
 
-LeaseKeeper::LeaseKeeper(const ObjectClient& objects, const std::string& name, std::string self, const LeaseOptions& options)
+LeaseManager::LeaseManager(const ObjectClient& objects, const std::string& name, std::string self, const LeaseOptions& options)
     : m_objects(objects)
     , m_key("leases/" + name)
     , m_options(options)
@@ -12,23 +12,23 @@
 {
 }
 
-bool LeaseKeeper::step(bool mayTake)
+bool LeaseManager::step(bool mayAcquire)
 {
     std::lock_guard lock(m_mutex);
     auto now = steadyNow();
-    auto wanted = m_known ? m_machine.next(now) : std::nullopt;
-    bool renews = wanted && m_machine.holds(now);
-    if (wanted && (renews || mayTake))
-        write(*wanted);
-    else if (!m_known || (!m_machine.holds(now) && now >= m_nextRead))
+    auto leaseWrite = m_isObserved ? m_machine.next(now) : std::nullopt;
+    bool isRenewal = leaseWrite && m_machine.holds(now);
+    if (leaseWrite && (isRenewal || mayAcquire))
+        write(*leaseWrite);
+    else if (!m_isObserved || (!m_machine.holds(now) && now >= m_nextReadAt))
         read();
     return m_machine.holds(steadyNow());
 }
 
-void LeaseKeeper::read()
+void LeaseManager::read()
 {
     auto sentAt = steadyNow();
-    m_nextRead = sentAt + m_options.renewEvery / 3;
+    m_nextReadAt = sentAt + m_options.renewEvery / 3;
     auto object = m_objects.get(m_key);
     if (!object)
         return;
@@ -42,26 +42,26 @@
         version = object.value()->version;
     }
     m_machine.observe(record, version, sentAt, steadyNow());
-    m_known = true;
+    m_isObserved = true;
 }
 
-void LeaseKeeper::write(const LeaseWrite& wanted)
+void LeaseManager::write(const LeaseWrite& leaseWrite)
 {
     auto heldBefore = m_machine.holds(steadyNow());
     auto sentAt = steadyNow();
-    auto text = leaseToJson(wanted.record);
-    auto version = wanted.kind == LeaseWriteKind::Create ? m_objects.create(m_key, text) : m_objects.update(m_key, text, wanted.version);
+    auto text = leaseToJson(leaseWrite.record);
+    auto version = leaseWrite.kind == LeaseWriteKind::Create ? m_objects.create(m_key, text) : m_objects.update(m_key, text, leaseWrite.version);
     if (!version) {
         m_machine.forget();
-        m_known = false;
+        m_isObserved = false;
         return;
     }
-    m_machine.written(wanted, version.value(), sentAt);
+    m_machine.written(leaseWrite, version.value(), sentAt);
     if (!heldBefore)
-        logEvent(LogLevel::Info, "lease_taken", { { "lease", m_key }, { "fence", wanted.record.fence } });
+        logEvent(LogLevel::Info, "lease_taken", { { "lease", m_key }, { "fence", leaseWrite.record.fence } });
 }
 
-void LeaseKeeper::release()
+void LeaseManager::release()
 {
     std::lock_guard lock(m_mutex);
     if (!m_machine.holds(steadyNow()))
@@ -72,32 +72,32 @@
     auto record = leaseFromJson(object.value()->value);
     if (!record || record.value().fence != m_machine.fence())
         return;
-    LeaseWrite wanted { .kind = LeaseWriteKind::Update, .version = object.value()->version, .record = { .holder = {}, .fence = record.value().fence, .renewals = 0 } };
-    write(wanted);
+    LeaseWrite leaseWrite { .kind = LeaseWriteKind::Update, .version = object.value()->version, .record = { .holder = {}, .fence = record.value().fence, .renewals = 0 } };
+    write(leaseWrite);
 }
 
-bool LeaseKeeper::holds() const
+bool LeaseManager::holds() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.holds(steadyNow());
 }
 
-Milliseconds LeaseKeeper::left() const
+Milliseconds LeaseManager::left() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.left(steadyNow());
 }
 
-std::uint64_t LeaseKeeper::fence() const
+std::uint64_t LeaseManager::fence() const
 {
     std::lock_guard lock(m_mutex);
     return m_machine.fence();
 }
 
-SteadyTime LeaseKeeper::takenAt() const
+SteadyTime LeaseManager::acquiredAt() const
 {
     std::lock_guard lock(m_mutex);
-    return m_machine.takenAt();
+    return m_machine.acquiredAt();
 }
 
 } // namespace Onyxnotch
