--- a/core/command_line.h
+++ b/core/command_line.h
@@ -1,4 +1,4 @@
-// Command lines by docopt: the usage text is the grammar.
+// Command line parsing with docopt, which derives the grammar from the usage text.
 #pragma once
 
 #include <map>
@@ -8,25 +8,25 @@
 
 namespace Onyxnotch {
 
-// The exit codes of every onyxnotch program; docs/operators/exit_codes.md explains each.
+// Exit codes of all onyxnotch programs. Each is explained in docs/operators/exit_codes.md.
 enum class ExitCode {
     Success = 0,
-    Failed = 1, // The operation was carried out and failed.
-    Usage = 2, // The command line or the settings are wrong.
-    Refused = 3, // A declaration was refused; nothing changed.
-    Conflict = 4, // Another operator changed the same objects; nothing changed.
-    Unavailable = 5, // A service that the command needs did not answer.
-    Unknown = 6, // A request may or may not have run.
+    Failed = 1, // The operation was attempted and failed.
+    Usage = 2, // Invalid command line or settings.
+    Refused = 3, // A declaration was rejected; nothing was changed.
+    Conflict = 4, // Another operator has modified the same objects; nothing was changed.
+    Unavailable = 5, // A service required by the command did not respond.
+    Unknown = 6, // It is unknown whether a request was executed.
 };
 
-// Values of a parsed command line, by option or argument name as written in the usage text.
+// A parsed command line. Values are looked up by the option or argument name as it is written in the usage text.
 class CommandLine {
 public:
-    // Prints help, version or the usage error and ends the process where that is what the user asked for.
+    // Parses the arguments. For a help or version option, or an invalid command line, prints the respective text and exits the process.
     CommandLine(const std::string& usage, int argc, char** argv);
 
     bool flag(const std::string& name) const;
-    std::string text(const std::string& name) const; // Empty where not given.
+    std::string text(const std::string& name) const; // Empty if the option was not given.
     std::vector<std::string> list(const std::string& name) const;
 
 private:
@@ -35,7 +35,7 @@
     std::map<std::string, std::vector<std::string>> m_lists {};
 };
 
-// The version that every program prints.
+// The version text printed by all programs.
 std::string versionText();
 
 } // namespace Onyxnotch
--- a/core/deflate.cpp
+++ b/core/deflate.cpp
@@ -10,25 +10,25 @@
     std::string result(compressBound(bytes.size()), '\0');
     uLongf size = result.size();
     int status = compress2(reinterpret_cast<Bytef*>(result.data()), &size, reinterpret_cast<const Bytef*>(bytes.data()), bytes.size(), Z_BEST_SPEED);
-    result.resize(status == Z_OK ? size : 0); // It fails only for want of memory, which ends the process anyway.
+    result.resize(status == Z_OK ? size : 0); // compress2() fails only if out of memory, which terminates the process anyway.
     return result;
 }
 
-Result<std::string> inflated(std::string_view bytes, std::size_t most)
+Result<std::string> inflated(std::string_view bytes, std::size_t maximumBytes)
 {
-    constexpr std::size_t firstGuess = 8;
-    auto room = std::min(most, std::max<std::size_t>(bytes.size(), 1) * firstGuess);
+    constexpr std::size_t initialExpansionFactor = 8;
+    auto capacity = std::min(maximumBytes, std::max<std::size_t>(bytes.size(), 1) * initialExpansionFactor);
     while (true) {
-        std::string result(room, '\0');
+        std::string result(capacity, '\0');
         uLongf size = result.size();
         int status = uncompress(reinterpret_cast<Bytef*>(result.data()), &size, reinterpret_cast<const Bytef*>(bytes.data()), bytes.size());
         if (status == Z_OK) {
             result.resize(size);
             return result;
         }
-        if (status != Z_BUF_ERROR || room >= most)
+        if (status != Z_BUF_ERROR || capacity >= maximumBytes)
             return Error { ErrorCode::InvalidArgument, "compressed text cannot be read" };
-        room = std::min(most, room * 2);
+        capacity = std::min(maximumBytes, capacity * 2);
     }
 }
 
--- a/core/deflate.h
+++ b/core/deflate.h
@@ -1,4 +1,4 @@
-// Compression of documents that nodes send each other, by zlib.
+// Compresses and decompresses documents exchanged between nodes, with zlib.
 #pragma once
 
 #include "core/outcome.h"
@@ -7,9 +7,9 @@
 
 namespace Onyxnotch {
 
-// In zlib's format, at its fastest level: lists and configurations shrink to an eighth.
+// Compresses to the zlib format at the fastest level. Endpoint lists and configurations shrink to an eighth of their size.
 std::string deflated(std::string_view bytes);
-// Errors: InvalidArgument for what is no such text, or is longer than `most` bytes when it is whole.
-Result<std::string> inflated(std::string_view bytes, std::size_t most);
+// Decompresses the zlib format. Errors: InvalidArgument if `bytes` is not valid zlib data, or decompresses to more than `maximumBytes`.
+Result<std::string> inflated(std::string_view bytes, std::size_t maximumBytes);
 
 } // namespace Onyxnotch
--- a/core/digest.cpp
+++ b/core/digest.cpp
@@ -37,11 +37,11 @@
 
 std::string shortMacHex(std::string_view key, std::string_view data)
 {
-    static constexpr std::size_t keptBytes = 16;
+    static constexpr std::size_t truncatedBytes = 16;
     std::array<unsigned char, EVP_MAX_MD_SIZE> buf {};
     unsigned size = 0;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(data.data()), data.size(), buf.data(), &size);
-    return toHex(buf.data(), keptBytes);
+    return toHex(buf.data(), truncatedBytes);
 }
 
 std::uint64_t fastHash(std::string_view data)
@@ -52,7 +52,7 @@
 std::string randomHex(unsigned byteCount)
 {
     std::vector<unsigned char> buf(byteCount);
-    // Without randomness tickets could be forged: a broken invariant.
+    // Without random data, tickets could be forged.
     if (RAND_bytes(buf.data(), static_cast<int>(byteCount)) != 1)
         std::abort();
     return toHex(buf.data(), buf.size());
--- a/core/digest.h
+++ b/core/digest.h
@@ -1,4 +1,5 @@
-// Digests: SHA-256 for keys, HMAC-SHA-256 for tickets, xxHash for checks of accidental damage. OpenSSL and xxHash do the work.
+// Hashes and random values: SHA-256 for API keys, HMAC-SHA-256 for tickets, xxHash for detecting accidental corruption. Wraps OpenSSL and
+// xxHash.
 #pragma once
 
 #include <cstdint>
@@ -7,19 +8,19 @@
 
 namespace Onyxnotch {
 
-// Lower-case hexadecimal SHA-256 of `data`.
+// SHA-256 of `data` in lower-case hexadecimal.
 std::string sha256Hex(std::string_view data);
 
-// The first 16 bytes of HMAC-SHA-256 as lower-case hexadecimal.
+// First 16 bytes of HMAC-SHA-256 in lower-case hexadecimal.
 std::string shortMacHex(std::string_view key, std::string_view data);
 
-// Not for security: detects damage and spreads keys over shards.
+// Non-cryptographic 64-bit hash (XXH3), for detecting corruption and distributing keys over shards.
 std::uint64_t fastHash(std::string_view data);
 
-// `byteCount` random bytes from the system, as lower-case hexadecimal.
+// `byteCount` cryptographically secure random bytes in lower-case hexadecimal. Aborts the process if no random data is available.
 std::string randomHex(unsigned byteCount);
 
-// Compares in a time that does not depend on where the texts differ.
+// The comparison time does not depend on the position of the first difference.
 bool equalInConstantTime(std::string_view, std::string_view);
 
 } // namespace Onyxnotch
--- a/core/file.h
+++ b/core/file.h
@@ -1,4 +1,4 @@
-// Whole files as text.
+// Reads a complete file into a string.
 #pragma once
 
 #include "core/outcome.h"
@@ -6,7 +6,7 @@
 
 namespace Onyxnotch {
 
-// Errors: NotFound, or Exhausted where the file is larger than 16 MiB. The message names the path.
+// Errors: NotFound if the file cannot be opened, Exhausted if it is larger than 16 MiB. The error message includes the path.
 Result<std::string> readFile(const std::string& path);
 
 } // namespace Onyxnotch
--- a/core/json_decode.h
+++ b/core/json_decode.h
@@ -1,4 +1,4 @@
-// Reads values out of JSON text that another process sent, and turns any surprise in it into an error.
+// Decodes JSON text received from another process and converts parse and type errors into Error values.
 #pragma once
 
 #include "core/outcome.h"
@@ -7,7 +7,8 @@
 
 namespace Onyxnotch {
 
-// Errors: `code` where the text is no JSON or `read` finds another shape than it expects. `what` names the source in the message.
+// Parses `text` and converts it with `read`. Errors: `code` if the text is not valid JSON or `read` throws. `what` names the source of the
+// text in the error message.
 template <typename Value, typename Read>
 Result<Value> decodeJson(const std::string& text, ErrorCode code, const std::string& what, Read read)
 {
--- a/core/json_schema.cpp
+++ b/core/json_schema.cpp
@@ -22,9 +22,9 @@
         for (const auto& it : context) {
             if (it == "<root>")
                 continue;
-            // valijson writes a step as "[name]" or "[index]".
-            auto step = it.size() > 2 && it.front() == '[' ? it.substr(1, it.size() - 2) : it;
-            pointer += "/" + step;
+            // valijson reports each path segment as "[name]" or "[index]".
+            auto segment = it.size() > 2 && it.front() == '[' ? it.substr(1, it.size() - 2) : it;
+            pointer += "/" + segment;
         }
         return pointer;
     }
@@ -49,22 +49,22 @@
         SchemaViolation violation { .pointer = pointerOf(error.context), .reason = error.description };
         violations.push_back(std::move(violation));
     }
-    // Behind the violation itself valijson reports every schema around it, which only hides the reason.
-    auto isSurrounding = [](const SchemaViolation& it) { return it.reason.rfind("Failed to validate", 0) == 0; };
-    if (!std::all_of(violations.begin(), violations.end(), isSurrounding))
-        std::erase_if(violations, isSurrounding);
+    // valijson also reports a failure for each schema that encloses the violated one. Drop these unless there is nothing else.
+    auto isEnclosingSchemaError = [](const SchemaViolation& it) { return it.reason.rfind("Failed to validate", 0) == 0; };
+    if (!std::all_of(violations.begin(), violations.end(), isEnclosingSchemaError))
+        std::erase_if(violations, isEnclosingSchemaError);
     return violations;
 }
 
 Result<Json> parseJson(const std::string& text)
 {
-    auto depthLimit = [](int depth, Json::parse_event_t, Json&) {
+    auto checkDepth = [](int depth, Json::parse_event_t, Json&) {
         if (depth > maximumDepth)
             throw std::length_error("nested deeper than 64 levels");
         return true;
     };
     try {
-        return Json::parse(text, depthLimit);
+        return Json::parse(text, checkDepth);
     } catch (const std::exception& exception) {
         return Error { ErrorCode::InvalidArgument, exception.what() };
     }
--- a/core/json_schema.h
+++ b/core/json_schema.h
@@ -1,4 +1,4 @@
-// JSON Schema checks by valijson, with errors that name the place by JSON pointer.
+// JSON parsing and JSON Schema validation (with valijson). Violations are located by JSON pointers.
 #pragma once
 
 #include "core/outcome.h"
@@ -8,21 +8,22 @@
 
 namespace Onyxnotch {
 
-// One rule that a document breaks.
+// A schema rule that a document violates.
 struct SchemaViolation {
-    std::string pointer {}; // RFC 6901, for instance "/objects/3/spec".
+    std::string pointer {}; // JSON pointer (RFC 6901) of the invalid value, e.g. "/objects/3/spec".
     std::string reason {};
 
     bool operator==(const SchemaViolation&) const = default;
 };
 
-// Empty where the document holds to the schema. `schemaText` must be a valid schema: it is our own, so a fault in it stops the process.
+// Returns an empty list if the document is valid. `schemaText` must be a valid schema: all schemas are built into the programs, so an
+// invalid one raises an uncaught exception that terminates the process.
 std::vector<SchemaViolation> checkSchema(const std::string& schemaText, const nlohmann::json& document);
 
-// Parses JSON text; errors give line and column. Refuses documents nested deeper than 64 levels.
+// Parses JSON text. Errors: InvalidArgument, with line and column, or if the document is nested deeper than 64 levels.
 Result<nlohmann::json> parseJson(const std::string& text);
 
-// Fills members that `document` lacks with the "default" of the schema, through nested objects.
+// Adds members missing from `document` with the "default" values of the schema, recursively through nested objects.
 void applySchemaDefaults(const nlohmann::json& schema, nlohmann::json& document);
 
 } // namespace Onyxnotch
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-    // The constant part of each line, already encoded; set once by startLog.
+    // The fields common to all lines, encoded as JSON members. Set once by startLog().
     std::string& commonFields()
     {
         static std::string fields;
@@ -31,10 +31,10 @@
     std::atomic<bool> logStarted { false };
     std::atomic<LogLevel> minimumLevel { LogLevel::Info };
 
-    constexpr std::size_t maximumBufferedBytes = std::size_t { 512 } * 1024; // Some two thousand lines.
-    constexpr std::size_t writeStepBytes = 4096; // What a pipe that is writable takes without waiting (PIPE_BUF).
+    constexpr std::size_t maximumBufferedBytes = std::size_t { 512 } * 1024; // About 2000 lines.
+    constexpr std::size_t maximumWriteBytes = 4096; // PIPE_BUF: a pipe that poll() reports as writable accepts this much without blocking.
 
-    // Lines that wait for standard output.
+    // Bounded buffer of log lines to be written to standard output. Thread-safe.
     class LineBuffer {
     public:
         void add(const std::string& line)
@@ -50,21 +50,21 @@
 
         void flush()
         {
-            std::lock_guard writing(m_writing);
+            std::lock_guard writeLock(m_writeMutex);
             while (true) {
                 if (m_pending.empty() && !refill())
                     return;
                 pollfd ready { .fd = STDOUT_FILENO, .events = POLLOUT, .revents = 0 };
                 if (::poll(&ready, 1, 0) <= 0 || !(ready.revents & POLLOUT))
                     return;
-                auto size = ::write(STDOUT_FILENO, m_pending.data(), std::min(m_pending.size(), writeStepBytes));
+                auto size = ::write(STDOUT_FILENO, m_pending.data(), std::min(m_pending.size(), maximumWriteBytes));
                 if (size <= 0)
                     return;
                 m_pending.erase(0, static_cast<std::size_t>(size));
             }
         }
 
-        unsigned long takeDropped()
+        unsigned long takeDroppedCount()
         {
             std::lock_guard lock(m_mutex);
             return std::exchange(m_dropped, 0);
@@ -79,9 +79,9 @@
         }
 
         std::mutex m_mutex;
-        std::mutex m_writing;
+        std::mutex m_writeMutex;
         std::string m_text {};
-        std::string m_pending {}; // Under m_writing.
+        std::string m_pending {}; // Guarded by m_writeMutex.
         unsigned long m_dropped { 0 };
     };
 
@@ -211,7 +211,7 @@
     if (!bufferedLog)
         return;
     lineBuffer().flush();
-    if (auto dropped = lineBuffer().takeDropped())
+    if (auto dropped = lineBuffer().takeDroppedCount())
         logEvent(LogLevel::Warning, "log_lines_dropped", { { "count", dropped } });
 }
 
@@ -219,16 +219,16 @@
 {
     auto elapsed = std::chrono::duration<double>(now - m_updatedAt).count();
     m_updatedAt = now;
-    m_lines = std::min(m_linesPerSecond, m_lines + elapsed * m_linesPerSecond);
-    if (m_lines < 1) {
-        ++m_leftOut;
+    m_availableLines = std::min(m_linesPerSecond, m_availableLines + elapsed * m_linesPerSecond);
+    if (m_availableLines < 1) {
+        ++m_suppressed;
         return false;
     }
-    m_lines -= 1;
+    m_availableLines -= 1;
     return true;
 }
 
-unsigned long LogBudget::takeLeftOut() { return std::exchange(m_leftOut, 0); }
+unsigned long LogBudget::takeLeftOut() { return std::exchange(m_suppressed, 0); }
 
 LogLevel parseLogLevel(std::string_view text)
 {
--- a/core/log.h
+++ b/core/log.h
@@ -1,4 +1,4 @@
-// Structured logs: one JSON object a line, written by Boost.Log to standard error, or buffered to standard output.
+// Structured logging: one JSON object per line, written to standard error by Boost.Log, or buffered and written to standard output.
 #pragma once
 
 #include "core/clock.h"
@@ -17,18 +17,18 @@
     Error,
 };
 
-// Attributes that stand in every line of a process.
+// Logging options of the process. Component, instance and zone are included in every line.
 struct LogOptions {
     std::string component {}; // "gateway", "controller", "cli".
     std::string instance {};
     std::string zone {};
     LogLevel minimumLevel { LogLevel::Info };
-    // Lines wait in a bounded buffer for flushLog() and go to standard output. No thread ever waits for a reader that is slow: lines
-    // beyond the buffer are dropped, counted, and the count is told in the log.
+    // Lines are collected in a bounded buffer that flushLog() writes to standard output. Logging never blocks on a slow reader: lines that
+    // do not fit into the buffer are dropped, and their number is logged as an event "log_lines_dropped".
     bool buffered { false };
 };
 
-// One named value of a line. Numbers stay numbers.
+// A named value in a log line. Numbers are written as JSON numbers, everything else as strings.
 struct LogField {
     LogField(std::string_view fieldName, std::string_view text);
     LogField(std::string_view fieldName, const char* text);
@@ -45,41 +45,42 @@
     std::string encodedValue {}; // JSON text.
 };
 
-// Must run before the first line; lines before it are dropped.
+// Initializes logging. Events logged before this call are dropped.
 void startLog(const LogOptions&);
 
-// `event` is a stable name in snake_case; docs/operators/log_events.md lists each one.
-// Request ids go in the field "request_id".
+// Logs an event. `event` is a stable name in snake_case; docs/operators/log_events.md lists all of them. Request ids go into the field
+// "request_id".
 void logEvent(LogLevel, std::string_view event, std::initializer_list<LogField> fields = {});
 
-// Writes what a buffered log holds, as far as standard output takes it without waiting. Call it some times a second, and at the end.
+// Writes buffered lines to standard output as far as possible without blocking. Does nothing if the log is not buffered. Must be called
+// several times per second, and before the process exits.
 void flushLog();
 
-// How many lines of a kind may be written in a second; the others are counted. Not thread safe.
+// Rate limiter for one kind of log line; counts the lines that were suppressed. Not thread-safe.
 class LogBudget {
 public:
     explicit LogBudget(double linesPerSecond)
         : m_linesPerSecond(linesPerSecond)
-        , m_lines(linesPerSecond)
+        , m_availableLines(linesPerSecond)
     {
     }
 
-    // False where the line should be left out.
+    // Consumes budget for one line. Returns false if the line should be suppressed.
     bool take(SteadyTime now);
-    // Lines that were left out since the last call.
+    // Returns the number of lines suppressed since the last call, and resets it.
     unsigned long takeLeftOut();
 
 private:
     double m_linesPerSecond;
-    double m_lines;
+    double m_availableLines;
     SteadyTime m_updatedAt {};
-    unsigned long m_leftOut { 0 };
+    unsigned long m_suppressed { 0 };
 };
 
-// Takes effect at once, on all threads.
+// Takes effect immediately on all threads.
 void setMinimumLogLevel(LogLevel);
 
-// Sets from the text "debug", "info", "warning" or "error"; anything else is Info.
+// Parses "debug", "info", "warning" or "error"; any other text yields Info.
 LogLevel parseLogLevel(std::string_view);
 
 } // namespace Onyxnotch
--- a/core/metrics.cpp
+++ b/core/metrics.cpp
@@ -29,7 +29,7 @@
 
 Metrics::~Metrics() = default;
 
-// The registry's families are found by name and kept, so registering again returns the first one.
+// Register() returns the existing family if one of this name is already registered.
 void Metrics::increment(const std::string& name, const Labels& labels, double amount)
 {
     auto& family = prometheus::BuildCounter().Name(name).Register(m_implementation->registry);
--- a/core/metrics.h
+++ b/core/metrics.h
@@ -1,4 +1,4 @@
-// The metrics of a process, kept by prometheus-cpp and served as text at /metrics.
+// Metrics registry of a process, implemented with prometheus-cpp. The serialized text is served at /metrics.
 #pragma once
 
 #include <map>
@@ -7,7 +7,7 @@
 
 namespace Onyxnotch {
 
-// Names carry their unit as Prometheus asks; docs/operators/metrics.md lists each one. Safe from any thread.
+// Metric names include their unit, following the Prometheus naming conventions; docs/operators/metrics.md lists all of them. Thread-safe.
 class Metrics {
 public:
     using Labels = std::map<std::string, std::string>;
@@ -19,9 +19,9 @@
 
     void increment(const std::string& name, const Labels& labels = {}, double amount = 1);
     void set(const std::string& name, double value, const Labels& labels = {});
-    // Adds a duration in seconds to a histogram with buckets from 5 ms to 30 s.
+    // Adds a duration in seconds to a histogram whose buckets range from 5 ms to 30 s.
     void observeSeconds(const std::string& name, double seconds, const Labels& labels = {});
-    // The Prometheus text format, version 0.0.4.
+    // Returns all metrics in the Prometheus text format, version 0.0.4.
     std::string serialize() const;
 
 private:
--- a/core/net/address.h
+++ b/core/net/address.h
@@ -1,4 +1,4 @@
-// An IP address with a port, the only way that processes name each other.
+// An IP address with a port. Processes address each other only in this form, never by host name.
 #pragma once
 
 #include "core/outcome.h"
@@ -20,7 +20,7 @@
     void serialize(Archive& archive) { archive(host, port); }
 };
 
-// Reads "127.0.0.1:8080", with or without "http://" before it.
+// Parses "HOST:PORT", e.g. "127.0.0.1:8080", with an optional "http://" prefix. The host is not validated. Errors: InvalidArgument.
 Result<Address> parseAddress(std::string_view text);
 
 } // namespace Onyxnotch
--- a/core/net/async_connection.cpp
+++ b/core/net/async_connection.cpp
@@ -13,9 +13,11 @@
 
 namespace {
 
-    constexpr std::size_t readBytes = 16384; // One read takes most requests and answers whole.
-    constexpr std::size_t keptInputBytes = 1024; // Of a connection that waits: events and heads of small answers fit.
-    constexpr std::size_t maximumWatchedBytes = 65536; // A caller that sends this much ahead is no longer read until its turn.
+    constexpr std::size_t readBufferBytes = 16384; // Most requests and responses fit into one read.
+    // Input buffer capacity that a waiting connection may retain. Events and the heads of small responses fit.
+    constexpr std::size_t maximumRetainedInputBytes = 1024;
+    // Once a watched connection has this much unprocessed input, no more is read until the input is processed.
+    constexpr std::size_t maximumReadAheadBytes = 65536;
 
 } // namespace
 
@@ -45,39 +47,39 @@
 {
     constexpr int on = 1;
     constexpr int idleSeconds = 1;
-    constexpr int betweenSeconds = 1;
-    constexpr int lostProbes = 2;
+    constexpr int probeIntervalSeconds = 1;
+    constexpr int maximumLostProbes = 2;
     auto handle = m_socket.native_handle();
     ::setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
     ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idleSeconds, sizeof(idleSeconds));
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &betweenSeconds, sizeof(betweenSeconds));
-    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &lostProbes, sizeof(lostProbes));
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &probeIntervalSeconds, sizeof(probeIntervalSeconds));
+    ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &maximumLostProbes, sizeof(maximumLostProbes));
 }
 
-void AsyncConnection::guard(SteadyTime deadline)
+void AsyncConnection::beginOperation(SteadyTime deadline)
 {
     m_deadline = deadline;
-    m_guarded = true;
+    m_operationActive = true;
     m_timedOut = false;
-    // One timer serves many operations: it is armed anew only where it would fire too late.
-    if (!m_armed || deadline < m_armedFor)
-        armTimer();
+    // The timer is shared by successive operations: it is restarted only if it would fire too late for this deadline.
+    if (!m_timerRunning || deadline < m_timerExpiry)
+        startTimer();
 }
 
-void AsyncConnection::armTimer()
+void AsyncConnection::startTimer()
 {
-    m_armed = true;
-    m_armedFor = m_deadline;
+    m_timerRunning = true;
+    m_timerExpiry = m_deadline;
     m_timer.expires_at(m_deadline);
     m_timer.async_wait([weak = weak_from_this()](const asio::error_code& ec) {
         auto self = weak.lock();
         if (ec || !self)
             return;
-        self->m_armed = false;
-        if (!self->m_guarded)
+        self->m_timerRunning = false;
+        if (!self->m_operationActive)
             return;
         if (steadyNow() < self->m_deadline) {
-            self->armTimer();
+            self->startTimer();
             return;
         }
         self->m_timedOut = true;
@@ -102,22 +104,23 @@
     if (ec)
         co_return ec;
     setUp();
-    guard(deadline);
+    beginOperation(deadline);
     co_await m_socket.async_connect({ host, address.port }, asio::redirect_error(asio::use_awaitable, ec));
-    release();
+    endOperation();
     co_return outcome(ec);
 }
 
-// One buffer serves all connections of a thread: they are many, and each has bytes only for a moment. Empty where nothing has arrived.
+// Reads available data without blocking; returns 0 if there is none. All connections of a thread share one buffer, since there are many
+// connections and each uses it only briefly.
 std::size_t AsyncConnection::readNow(asio::error_code& ec)
 {
-    thread_local std::array<char, readBytes> buf;
+    thread_local std::array<char, readBufferBytes> buf;
     auto size = m_socket.read_some(asio::buffer(buf), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again)
         ec = {};
     m_input.append(buf.data(), size);
-    // Fewer bytes than there was room for: nothing more is there, and asking again would be a system call for nothing.
-    m_drained = size < readBytes;
+    // A short read means that no more data is available; this saves a system call in the next read().
+    m_receiveBufferEmpty = size < readBufferBytes;
     return size;
 }
 
@@ -127,15 +130,15 @@
     if (!m_socket.is_open())
         co_return asio::error::bad_descriptor;
     asio::error_code ec;
-    // What has arrived already needs no turn of the loop.
-    if (!m_drained && (readNow(ec) > 0 || ec))
+    // Data that is already available is read without going through the event loop.
+    if (!m_receiveBufferEmpty && (readNow(ec) > 0 || ec))
         co_return ec;
-    // No large buffer is held while the peer is awaited: idle connections are many.
-    if (m_input.empty() && m_input.capacity() > keptInputBytes)
+    // Release large buffers before waiting, since there may be many idle connections.
+    if (m_input.empty() && m_input.capacity() > maximumRetainedInputBytes)
         m_input = {};
-    guard(deadline);
+    beginOperation(deadline);
     co_await m_socket.async_wait(asio::ip::tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, ec));
-    release();
+    endOperation();
     if (!ec)
         readNow(ec);
     co_return outcome(ec);
@@ -148,9 +151,9 @@
     bytes.remove_prefix(writeNow(bytes, ec));
     if (ec || bytes.empty())
         co_return ec;
-    guard(deadline);
+    beginOperation(deadline);
     co_await asio::async_write(m_socket, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, ec));
-    release();
+    endOperation();
     co_return outcome(ec);
 }
 
@@ -159,11 +162,11 @@
     using asio::experimental::as_tuple;
     using namespace asio::experimental::awaitable_operators;
     auto self = shared_from_this();
-    guard(deadline);
-    auto first = co_await (m_socket.async_wait(asio::ip::tcp::socket::wait_write, as_tuple(asio::use_awaitable))
+    beginOperation(deadline);
+    auto ready = co_await (m_socket.async_wait(asio::ip::tcp::socket::wait_write, as_tuple(asio::use_awaitable))
         || m_socket.async_wait(asio::ip::tcp::socket::wait_read, as_tuple(asio::use_awaitable)));
-    release();
-    auto ec = first.index() == 0 ? std::get<0>(std::get<0>(first)) : std::get<0>(std::get<1>(first));
+    endOperation();
+    auto ec = ready.index() == 0 ? std::get<0>(std::get<0>(ready)) : std::get<0>(std::get<1>(ready));
     co_return outcome(ec);
 }
 
@@ -188,17 +191,17 @@
     return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void AsyncConnection::watch(std::function<void()> left)
+void AsyncConnection::watch(std::function<void()> onPeerClosed)
 {
-    m_left = std::move(left);
+    m_onPeerClosed = std::move(onPeerClosed);
     m_watching = true;
-    waitForPeer();
+    waitForReadable();
 }
 
 void AsyncConnection::unwatch()
 {
-    ++m_watch;
-    m_left = {};
+    ++m_watchGeneration;
+    m_onPeerClosed = {};
     if (!m_watching)
         return;
     m_watching = false;
@@ -206,11 +209,11 @@
     m_socket.cancel(ec);
 }
 
-void AsyncConnection::waitForPeer()
+void AsyncConnection::waitForReadable()
 {
-    m_socket.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), watch = m_watch](const asio::error_code& ec) {
+    m_socket.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), watch = m_watchGeneration](const asio::error_code& ec) {
         auto self = weak.lock();
-        if (!self || watch != self->m_watch)
+        if (!self || watch != self->m_watchGeneration)
             return;
         if (ec) {
             self->m_watching = false;
@@ -226,23 +229,23 @@
     asio::error_code ec;
     auto size = m_socket.read_some(asio::buffer(buf), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again) {
-        waitForPeer();
+        waitForReadable();
         return;
     }
     if (ec) {
         m_watching = false;
-        auto left = std::move(m_left);
-        m_left = {};
-        if (left)
-            left();
+        auto onPeerClosed = std::move(m_onPeerClosed);
+        m_onPeerClosed = {};
+        if (onPeerClosed)
+            onPeerClosed();
         return;
     }
     m_input.append(buf.data(), size);
-    if (m_input.size() >= maximumWatchedBytes) {
+    if (m_input.size() >= maximumReadAheadBytes) {
         m_watching = false;
         return;
     }
-    waitForPeer();
+    waitForReadable();
 }
 
 void AsyncConnection::close()
--- a/core/net/async_connection.h
+++ b/core/net/async_connection.h
@@ -1,4 +1,5 @@
-// A TCP connection for coroutines: reads and writes with deadlines, and notice of a peer that leaves. Belongs to one thread.
+// TCP connection for coroutines: connect, read and write with deadlines, and detection of a peer that closes the connection. Not
+// thread-safe: use each connection from one thread only.
 #pragma once
 
 #include "core/clock.h"
@@ -14,8 +15,8 @@
 
 namespace Onyxnotch {
 
-// Bytes that were sent and not acknowledged for this long end a connection, so that a peer that lost its power is noticed. Longer than a
-// few retransmissions on a lossy link, shorter than any deadline of a caller.
+// A connection fails if sent data is not acknowledged for this long (TCP_USER_TIMEOUT), so that a peer that lost power is detected. Long
+// enough for a few retransmissions on a lossy link, and shorter than any client deadline.
 constexpr Milliseconds unacknowledgedLimit { 3000 };
 
 class AsyncConnection : public std::enable_shared_from_this<AsyncConnection> {
@@ -23,58 +24,58 @@
     explicit AsyncConnection(asio::ip::tcp::socket);
     explicit AsyncConnection(asio::io_context&);
 
-    // Notices a peer that went silent while nothing is being sent, within some three seconds.
+    // Enables TCP keep-alive, which detects an unreachable peer on an idle connection within about 3 s.
     void probeWhenIdle();
 
-    // Each returns asio::error::timed_out where the deadline passed first.
+    // Each of the following operations returns asio::error::timed_out if the deadline passes before it completes.
     asio::awaitable<asio::error_code> connect(const Address&, SteadyTime deadline);
-    // Appends what arrives to input(). asio::error::eof where the peer closed its side.
+    // Waits for data and appends it to input(). Returns asio::error::eof if the peer has closed its sending side.
     asio::awaitable<asio::error_code> read(SteadyTime deadline);
     asio::awaitable<asio::error_code> write(std::string_view, SteadyTime deadline);
-    // Returns when a write would take bytes, or bytes have arrived, or the peer has closed.
+    // Completes when the socket becomes writable or readable, or the peer has closed the connection.
     asio::awaitable<asio::error_code> waitWritableOrReadable(SteadyTime deadline);
-    // As far as the socket takes it at once; returns the bytes taken. For bytes whose rest write() sends.
+    // Writes as much as the socket accepts without blocking and returns the number of bytes written. The caller sends the remainder with
+    // write().
     std::size_t writeNow(std::string_view, asio::error_code&);
 
-    // Bytes that have arrived and were not taken yet.
+    // Received bytes. The caller removes the ones it has processed.
     std::string& input() { return m_input; }
-    // True where neither bytes nor an end wait to be read: an idle connection that can be used again.
+    // True if the connection is open and has no unread data or end of stream, so that it can be reused for another request.
     bool isQuiet();
 
-    // Calls `left` once when the peer closes or resets. Bytes that arrive meanwhile go to input(), up to a limit; beyond that the
-    // watch ends. No read may run until unwatch().
-    void watch(std::function<void()> left);
+    // Calls `onPeerClosed` once when the peer closes or resets the connection. Data received in the meantime is appended to input(); when
+    // input() reaches a size limit, watching stops. read() must not be called before unwatch().
+    void watch(std::function<void()> onPeerClosed);
     void unwatch();
 
-    // Both may be called at any time; what runs ends with an error.
+    // close() and reset() may be called at any time; operations in progress complete with an error.
     void close();
-    // Closes so that the peer sees a reset, not an end that could look complete.
+    // Closes with a TCP reset, so that the peer cannot mistake it for a regular end of stream.
     void reset();
     bool isOpen() const { return m_socket.is_open(); }
-    // Bytes sent and received, for tests and metrics.
 
 private:
     void setUp();
-    void guard(SteadyTime deadline);
-    void armTimer();
-    void release() { m_guarded = false; }
+    void beginOperation(SteadyTime deadline);
+    void startTimer();
+    void endOperation() { m_operationActive = false; }
     asio::error_code outcome(asio::error_code) const;
     std::size_t readNow(asio::error_code&);
-    void waitForPeer();
+    void waitForReadable();
     void onReadable();
 
     asio::ip::tcp::socket m_socket;
     SteadyTimer m_timer;
     SteadyTime m_deadline {};
-    SteadyTime m_armedFor {};
-    bool m_armed { false };
-    bool m_guarded { false }; // An operation runs under m_deadline.
+    SteadyTime m_timerExpiry {};
+    bool m_timerRunning { false };
+    bool m_operationActive { false }; // An operation with deadline m_deadline is in progress.
     bool m_timedOut { false };
     std::string m_input {};
-    std::function<void()> m_left {};
-    std::uint64_t m_watch { 0 }; // Raised by each unwatch(), so that a late notice is known to be late.
+    std::function<void()> m_onPeerClosed {};
+    std::uint64_t m_watchGeneration { 0 }; // Incremented by unwatch(), so that completion handlers of an earlier watch are ignored.
     bool m_watching { false };
-    bool m_drained { false }; // The last read took all that had arrived by then.
+    bool m_receiveBufferEmpty { false }; // The last read emptied the receive buffer of the socket.
 };
 
 } // namespace Onyxnotch
--- a/core/net/async_http_client.cpp
+++ b/core/net/async_http_client.cpp
@@ -7,10 +7,10 @@
 namespace {
 
     constexpr std::size_t maximumHeadBytes = 65536;
-    constexpr std::size_t maximumIdle = 3; // A kept connection for calls beside those that wait for changes.
+    constexpr std::size_t maximumIdleConnections = 3; // Lets short calls reuse a connection while other calls wait in a long poll.
 
-    // A lost opening packet is sent again after 1, 3 and 7 seconds: by then a new connection would long be there. Many round trips, and
-    // as long as a short call may take in all.
+    // A lost SYN is retransmitted only after 1, 3 and 7 s, so it is faster to give up and open a new connection. The limit covers many
+    // round trips and equals the total timeout of a short call.
     constexpr Milliseconds connectTimeout { 700 };
 
     std::string encode(const AsyncHttpCall& call, const Address& address)
@@ -59,10 +59,10 @@
 asio::awaitable<Result<AsyncHttpReply>> AsyncHttpClient::call(const AsyncHttpCall& call)
 {
     auto deadline = steadyNow() + call.timeout;
-    auto found = co_await connection(deadline);
-    if (!found)
-        co_return found.error();
-    auto connection = found.value();
+    auto acquired = co_await connection(deadline);
+    if (!acquired)
+        co_return acquired.error();
+    auto connection = acquired.value();
     auto bytes = encode(call, m_address);
     auto ec = co_await connection->write(bytes, deadline);
     HttpParser parser(HttpMessageKind::Response, maximumHeadBytes);
@@ -76,7 +76,7 @@
         if (state != HttpParserState::Complete)
             continue;
         bool reusable = !ec && parser.head().keepAlive && connection->input().empty();
-        if (reusable && m_idle.size() < maximumIdle)
+        if (reusable && m_idle.size() < maximumIdleConnections)
             m_idle.push_back(connection);
         co_return AsyncHttpReply { .head = parser.head(), .body = std::move(parser.body()) };
     }
--- a/core/net/async_http_client.h
+++ b/core/net/async_http_client.h
@@ -1,4 +1,5 @@
-// HTTP calls from coroutines on kept connections, with deadlines. For calls to services, not for requests that are forwarded.
+// HTTP client for coroutines, with persistent connections and deadlines. For calls that this program makes itself, not for forwarding
+// client requests.
 #pragma once
 
 #include "core/net/address.h"
@@ -11,11 +12,11 @@
 
 struct AsyncHttpCall {
     std::string method { "GET" };
-    std::string target {}; // Path and query, already encoded.
+    std::string target {}; // Path and query, percent-encoded.
     std::vector<HttpField> fields {};
     std::string body {};
     std::string contentType { "application/json" };
-    Milliseconds timeout { 2000 }; // For the whole call.
+    Milliseconds timeout { 2000 }; // For the complete call, including connecting.
 };
 
 struct AsyncHttpReply {
@@ -26,15 +27,15 @@
     bool ok() const { return head.status / 100 == 2; }
 };
 
-// Belongs to one thread.
+// Client for one server. Not thread-safe.
 class AsyncHttpClient {
 public:
     AsyncHttpClient(asio::io_context&, const Address&);
 
-    // Errors: Unavailable where no byte of the call left this process, Ambiguous where it may have been carried out.
-    // A connection that failed is never used again.
-    // The call must be a variable that outlives it, not a temporary in the same expression: GCC 12 copies the bytes of an aggregate that
-    // is built inside a co_await expression, and frees its strings at the wrong place.
+    // Errors: Unavailable if no byte of the request was sent, Ambiguous if the request may have been executed. A connection on which a
+    // call failed is not reused.
+    // The argument must be a variable that outlives the call, not a temporary: GCC 12 copies an aggregate built inside a co_await
+    // expression bytewise and frees its strings at the wrong address.
     asio::awaitable<Result<AsyncHttpReply>> call(const AsyncHttpCall&);
     asio::awaitable<Result<AsyncHttpReply>> call(AsyncHttpCall&&) = delete;
     void setAddress(const Address&);
--- a/core/net/async_http_server.cpp
+++ b/core/net/async_http_server.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-    constexpr int listenBacklog = 512; // A whole zone's callers may move to one node at once.
+    constexpr int listenBacklog = 512; // All clients of an availability zone may connect to one node at the same time.
     constexpr std::size_t maximumHeadBytes = 8192;
-    // Pages are for a balancer, a metrics collector, and the nodes of an availability zone, each of which keeps a connection to its relays:
-    // with 64, a node of a zone of 75 got a configuration over three seconds late. Some kilobytes each.
+    // Clients are a load balancer, a metrics collector, and the nodes of the availability zone, each of which keeps a connection to its
+    // relay nodes. With a limit of 64, a node in a zone of 75 received a configuration more than 3 s late. A connection takes a few
+    // kilobytes of memory.
     constexpr unsigned maximumConnections = 1024;
     constexpr Milliseconds idleTimeout { 15000 };
     constexpr Milliseconds writeTimeout { 3000 };
@@ -82,7 +83,7 @@
         auto socket = co_await m_acceptor.async_accept(asio::redirect_error(asio::use_awaitable, ec));
         if (ec == asio::error::operation_aborted)
             break;
-        // One more connection than the limit closes here.
+        // A connection beyond the limit is closed when `socket` goes out of scope.
         if (ec || m_connections >= maximumConnections)
             continue;
         asio::co_spawn(m_context, serve(std::make_shared<AsyncConnection>(std::move(socket))), asio::detached);
@@ -96,10 +97,10 @@
     bool open = true;
     while (open) {
         parser.reset();
-        auto until = steadyNow() + idleTimeout;
+        auto idleDeadline = steadyNow() + idleTimeout;
         parser.feed(connection->input());
         while (open && (parser.state() == HttpParserState::Head || parser.state() == HttpParserState::Body)) {
-            open = !co_await connection->read(until);
+            open = !co_await connection->read(idleDeadline);
             parser.feed(connection->input());
             parser.body().clear();
         }
--- a/core/net/async_http_server.h
+++ b/core/net/async_http_server.h
@@ -1,4 +1,5 @@
-// Small pages of a process (readiness, metrics, its peers' questions) served by coroutines on the caller's thread.
+// HTTP server for the small documents a process serves itself (readiness, metrics, queries of peers). Runs as coroutines on the given
+// io_context; ignores request bodies.
 #pragma once
 
 #include "core/net/async_connection.h"
@@ -15,7 +16,7 @@
 
 class AsyncHttpServer {
 public:
-    // Must not block.
+    // Computes the response to a request. Must not block.
     using Handler = std::function<HttpResponse(const HttpHead&)>;
 
     AsyncHttpServer(asio::io_context&, const Address&, Handler);
--- a/core/net/bounded_archive.h
+++ b/core/net/bounded_archive.h
@@ -1,5 +1,6 @@
-// Reads messages that PortableBinaryOutputArchive wrote, of any sender: a size in them can claim no more than the bytes that are there. What
-// cereal's own reader allocates for a claimed size, before it finds that the bytes are missing, could take all of a node's memory.
+// Input archive for messages written by cereal::PortableBinaryOutputArchive, safe for untrusted input: container sizes are checked against
+// the number of remaining bytes. cereal's own reader allocates memory for the declared size before it finds that the data is missing, so
+// that a malformed message could exhaust the memory of a node.
 #pragma once
 
 #include <cereal/archives/portable_binary.hpp>
@@ -9,14 +10,14 @@
 
 namespace Onyxnotch {
 
-// Throws cereal::Exception, as cereal's readers do.
+// Reads from `bytes`, which must outlive the archive. Throws cereal::Exception on malformed input.
 class BoundedInputArchive : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision> {
 public:
     explicit BoundedInputArchive(std::string_view bytes)
         : InputArchive(this)
         , m_bytes(bytes)
     {
-        // The first byte tells the writer's byte order.
+        // The first byte is the byte order of the writer. Only the native byte order is supported.
         std::uint8_t isLittleEndian = 0;
         loadBinary(&isLittleEndian, sizeof(isLittleEndian));
         if (isLittleEndian != cereal::portable_binary_detail::is_little_endian())
@@ -31,7 +32,7 @@
         m_bytes.remove_prefix(size);
     }
 
-    // Each element takes a byte at least.
+    // Throws if a container declares more elements than there are bytes left: each element takes at least one byte.
     void checkSize(std::uint64_t elements) const
     {
         if (elements > m_bytes.size())
@@ -42,7 +43,7 @@
     std::string_view m_bytes;
 };
 
-// The names are cereal's.
+// cereal requires these names.
 // NOLINTBEGIN(readability-identifier-naming)
 template <class Value>
 requires std::is_arithmetic_v<Value>
@@ -73,7 +74,7 @@
 
 } // namespace Onyxnotch
 
-// Which archive writes what this one reads.
+// Tells cereal which output archive corresponds to BoundedInputArchive.
 template <>
 struct cereal::traits::detail::get_output_from_input<Onyxnotch::BoundedInputArchive> {
     using type = cereal::PortableBinaryOutputArchive;
--- a/core/net/decimal.h
+++ b/core/net/decimal.h
@@ -1,4 +1,5 @@
-// Decimal numbers in header fields: digits, and a fraction after a point. No sign, exponent, hexadecimal digits, infinity or blanks.
+// Parses decimal numbers in HTTP header fields: digits with an optional fraction after a point. Signs, exponents, hexadecimal digits,
+// infinity and spaces are not accepted.
 #pragma once
 
 #include <optional>
@@ -6,7 +7,7 @@
 
 namespace Onyxnotch {
 
-// Empty for anything else, and for more characters than a number needs.
+// Returns an empty value for anything else, and for text longer than 32 characters.
 std::optional<double> parseDecimal(std::string_view);
 
 } // namespace Onyxnotch
--- a/core/net/frame.h
+++ b/core/net/frame.h
@@ -1,4 +1,4 @@
-// Frames between our own processes: a fixed header, then a message encoded by cereal. The same frame goes over TCP and UDP.
+// Wire format of messages between onyxnotch processes: a fixed header followed by a message serialized with cereal. Used over TCP and UDP.
 #pragma once
 
 #include "core/net/bounded_archive.h"
@@ -15,9 +15,9 @@
 
 namespace Onyxnotch {
 
-// Every message between our processes. Numbers are never used again for another message.
+// Types of all messages between onyxnotch processes. The numbers are part of the wire format; a number is never reused for another type.
 enum class MessageType : std::uint16_t {
-    Error = 1, // The answer to a frame that could not be served; the payload is a sentence.
+    Error = 1, // Response to a frame that could not be processed; the payload is an error message.
     Gossip = 2,
     GossipAcknowledgement = 3,
     JoinRequest = 4,
@@ -32,11 +32,11 @@
     PeerRow = 13,
     PrefillNotice = 14,
     UsageNotice = 15,
-    ZoneSum = 16, // Of a relay's zone, to the relays of the other zones.
-    FleetSum = 17, // Of all zones, to the nodes of the relay's zone.
-    SuspectNotice = 18, // Endpoints have just ended under requests.
-    LimitNews = 19, // What limited endpoints take.
-    CreditAsk = 20, // To a relay, for a request to such an endpoint.
+    ZoneSum = 16, // Aggregate state of one zone, from a relay node of that zone to the relay nodes of the other zones.
+    FleetSum = 17, // Aggregate state of all zones, from a relay node to the nodes of its zone.
+    SuspectNotice = 18, // Endpoints that have just ended while executing requests, and the requests suspected of causing it.
+    LimitNews = 19, // Limits advertised by endpoints, and the use of credits for them.
+    CreditAsk = 20, // Request to a relay node for credits to send requests to an endpoint with an advertised limit.
     CreditAnswer = 21,
     CreditReturn = 22,
 };
@@ -48,14 +48,14 @@
     bool operator==(const Frame&) const = default;
 };
 
-// The header: "ONYX", version (2 bytes), type (2), payload size (4), xxHash of the payload (8), all little endian.
+// Header layout: "ONYX", version (2 bytes), type (2), payload size (4), xxHash of the payload (8). Integers are little-endian.
 constexpr std::size_t frameHeaderBytes = 20;
 constexpr std::uint16_t frameVersion = 2;
 constexpr std::size_t maximumFrameBytes = 32U << 20U;
 
 std::string encodeFrame(const Frame&);
 
-// What a frame's header announces.
+// A decoded frame header.
 struct FrameHeader {
     MessageType type { MessageType::Error };
     std::uint32_t payloadBytes { 0 };
@@ -64,9 +64,9 @@
     bool operator==(const FrameHeader&) const = default;
 };
 
-// Errors: InvalidArgument for a wrong magic number, another version or a payload over the limit.
+// Errors: InvalidArgument for a wrong magic number, an unknown version or a payload size over maximumFrameBytes.
 Result<FrameHeader> decodeFrameHeader(std::string_view bytes);
-// Errors: InvalidArgument where the payload is truncated or does not match the checksum.
+// Errors: InvalidArgument for an invalid header, a truncated payload or a checksum mismatch.
 Result<Frame> decodeFrame(std::string_view bytes);
 Result<Frame> checkPayload(const FrameHeader&, std::string payload);
 
@@ -81,7 +81,7 @@
     return Frame { .type = type, .payload = stream.str() };
 }
 
-// Errors: InvalidArgument where the frame is of another type, or its payload is not such a message.
+// Errors: InvalidArgument if the frame is of another type, or the payload cannot be deserialized as `Message`.
 template <typename Message>
 Result<Message> unpackMessage(MessageType expected, const Frame& frame)
 {
--- a/core/net/http_client.cpp
+++ b/core/net/http_client.cpp
@@ -26,7 +26,7 @@
         return encoded;
     }
 
-    // A call that failed while connecting cannot have reached the peer; every other one may have.
+    // If connecting failed, the request cannot have reached the server. After any other failure it may have been executed.
     Error failure(const Address& address, httplib::Error error)
     {
         bool neverSent = error == httplib::Error::Connection || error == httplib::Error::BindIPAddress || error == httplib::Error::ConnectionTimeout;
--- a/core/net/http_client.h
+++ b/core/net/http_client.h
@@ -1,4 +1,5 @@
-// HTTP calls on cpp-httplib, each on a connection of its own, so that a failure says whether the peer can have acted.
+// Blocking HTTP client based on cpp-httplib. Each call uses its own connection, so that a failure tells whether the server may have
+// executed the request.
 #pragma once
 
 #include "core/clock.h"
@@ -16,12 +17,12 @@
     std::string body {};
     std::string contentType { "application/json" };
     Milliseconds connectTimeout { 500 };
-    Milliseconds readTimeout { 2000 }; // Between two arrivals of bytes, not for the whole answer.
+    Milliseconds readTimeout { 2000 }; // Maximum time without receiving data; not a limit for the complete response.
 };
 
 struct HttpReply {
     int status { 0 };
-    std::map<std::string, std::string> headers {}; // Names in lower case.
+    std::map<std::string, std::string> headers {}; // Names are lower case.
     std::string body {};
 
     bool ok() const { return status >= 200 && status < 300; }
@@ -32,17 +33,17 @@
     }
 };
 
-// The path with the query behind it, percent-encoded (RFC 3986).
+// Appends the query to the path; names and values are percent-encoded (RFC 3986).
 std::string pathWithQuery(const std::string& path, const std::map<std::string, std::string>& query);
 
-// Errors: Unavailable where no byte of the call left this process; Ambiguous in every other case.
+// Errors: Unavailable if the connection could not be established, so that no byte was sent; Ambiguous in all other cases.
 Result<HttpReply> sendHttp(const Address&, const HttpCall&);
 
-// A call whose answer is read piece by piece, and which another thread may cut short.
+// An HTTP call whose response body is processed as it arrives, and which can be cancelled from another thread.
 class HttpStream {
 public:
-    // Return false to end the call.
-    using HeaderReceiver = std::function<bool(const HttpReply&)>; // The body is still empty.
+    // Receivers return false to abort the call.
+    using HeaderReceiver = std::function<bool(const HttpReply&)>; // Called with an empty body.
     using DataReceiver = std::function<bool(std::string_view)>;
 
     explicit HttpStream(const Address&);
@@ -50,10 +51,9 @@
     HttpStream(const HttpStream&) = delete;
     HttpStream& operator=(const HttpStream&) = delete;
 
-    // Blocks until the answer has ended. Success means that it ended as HTTP says it must; one that a receiver ended or that
-    // was cut short is an error. Errors as for sendHttp.
+    // Blocks until the response is complete. A truncated response, or one aborted by a receiver, is an error. Errors: as for sendHttp().
     Status run(const HttpCall&, const HeaderReceiver&, const DataReceiver&);
-    // Ends run() soon, from any thread; also one that has not begun.
+    // Aborts run(); a later run() fails immediately. May be called from any thread.
     void cancel();
 
 private:
--- a/core/net/http_message.h
+++ b/core/net/http_message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values, so that only http_server.cpp and http_client.cpp know the library behind them.
+// HTTP requests and responses as plain structs, so that only http_server.cpp and http_client.cpp depend on the HTTP library.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,10 @@
 struct HttpRequest {
     std::string method {};
     std::string path {};
-    std::map<std::string, std::string> query {}; // Decoded.
-    std::map<std::string, std::string> headers {}; // Names in lower case.
+    std::map<std::string, std::string> query {}; // Percent-decoded.
+    std::map<std::string, std::string> headers {}; // Names are lower case.
     std::string body {};
-    std::vector<std::string> captures {}; // What the groups of the route's pattern matched.
+    std::vector<std::string> captures {}; // Text matched by the capture groups of the route's pattern.
 
     std::string header(const std::string& lowerCaseName) const
     {
@@ -32,7 +32,7 @@
     }
 };
 
-// Writes a part of a streamed body. Returns false where the peer has gone away.
+// Writes a part of a streamed body. Returns false if the client has disconnected.
 using HttpStreamWriter = std::function<bool(std::string_view)>;
 
 struct HttpResponse {
@@ -40,9 +40,10 @@
     HttpHeaders headers {};
     std::string contentType { "application/json" };
     std::string body {};
-    // Where set, the body is what this function writes; it runs once on the connection's thread.
+    // If set, this function writes the body instead of `body`. Called once, on the thread of the connection.
     std::function<void(const HttpStreamWriter&)> stream {};
-    // Let go once the whole response has been handed to the operating system, or could not be: until then a process that ends would cut it.
+    // Released once the complete response has been passed to the operating system, or writing it has failed. Lets a process that shuts down
+    // wait for responses that it would otherwise truncate.
     std::shared_ptr<void> untilWritten {};
 };
 
--- a/core/net/http_parser.cpp
+++ b/core/net/http_parser.cpp
@@ -32,7 +32,7 @@
         return std::all_of(name.begin(), name.end(), isTokenCharacter) && std::all_of(value.begin(), value.end(), isValueCharacter);
     }
 
-    // The start line: visible characters and single blanks, so that no reader splits it in another place.
+    // Accepts only printable characters, and in requests exactly two single spaces, so that all implementations split the line alike.
     bool isStartLine(std::string_view line, HttpMessageKind kind)
     {
         bool printable = std::all_of(line.begin(), line.end(), isValueCharacter) && line.find('\t') == std::string_view::npos;
@@ -41,7 +41,7 @@
         return std::count(line.begin(), line.end(), ' ') == 2 && line.find("  ") == std::string_view::npos;
     }
 
-    // Every line ends with CR LF, none is folded, no name or value holds an odd byte.
+    // Requires CR LF line ends, no folded lines, and only permitted characters in names and values.
     bool isStrictHead(std::string_view head, HttpMessageKind kind)
     {
         bool first = true;
@@ -67,7 +67,7 @@
 
     std::optional<std::uint64_t> parseLength(const std::string& text)
     {
-        constexpr std::size_t maximumDigits = 15; // Far beyond any limit of a body, and no overflow.
+        constexpr std::size_t maximumDigits = 15; // More than any body size limit needs, and cannot overflow.
         if (text.empty() || text.size() > maximumDigits || !std::all_of(text.begin(), text.end(), [](unsigned char it) { return std::isdigit(it); }))
             return std::nullopt;
         return std::stoull(text);
@@ -119,7 +119,7 @@
     static int onField(http_parser* library, const char* at, std::size_t size)
     {
         auto& parser = self(library);
-        // Trailers of a chunked body belong to one connection only.
+        // Trailer fields of a chunked body are dropped: they apply to one connection only and are not forwarded.
         if (parser.m_state != HttpParserState::Head)
             return 0;
         if (parser.m_head.fields.empty() || parser.m_callbacks->inValue)
@@ -155,7 +155,7 @@
     static int onMessageComplete(http_parser* library)
     {
         self(library).m_messageComplete = true;
-        // Bytes behind the message are the caller's business.
+        // Stop here: bytes after the end of the message are left to the caller.
         http_parser_pause(library, 1);
         return 0;
     }
@@ -188,12 +188,13 @@
 {
     if (m_noBody || m_kind == HttpMessageKind::Request)
         return false;
-    bool bodiless = m_head.status == 204 || m_head.status == 304 || m_head.status / 100 == 1;
-    return !bodiless && !m_head.chunked && !m_head.contentLength;
+    bool statusHasNoBody = m_head.status == 204 || m_head.status == 304 || m_head.status / 100 == 1;
+    return !statusHasNoBody && !m_head.chunked && !m_head.contentLength;
 }
 
-// Reads the framing fields and refuses what contradicts itself.
-bool HttpParser::takeHead(std::string& input)
+// Parses the head and the fields that delimit the body. Contradictory or repeated ones make the message malformed. Returns true if the
+// head is complete and valid.
+bool HttpParser::parseHead(std::string& input)
 {
     auto end = input.find(headEnd);
     if (end == std::string::npos || end + headEnd.size() > m_maximumHeadBytes) {
@@ -216,22 +217,22 @@
     m_head.method = m_kind == HttpMessageKind::Request ? http_method_str(static_cast<http_method>(m_callbacks->library.method)) : "";
     m_head.status = m_kind == HttpMessageKind::Response ? static_cast<int>(m_callbacks->library.status_code) : 0;
     m_head.keepAlive = http_should_keep_alive(&m_callbacks->library) != 0;
-    unsigned lengths = 0;
-    unsigned encodings = 0;
-    bool understood = m_callbacks->library.http_major == 1;
+    unsigned contentLengthCount = 0;
+    unsigned transferEncodingCount = 0;
+    bool isValid = m_callbacks->library.http_major == 1;
     for (auto& it : m_head.fields) {
         trim(it.value);
         if (equalsIgnoringCase(it.name, "content-length")) {
-            ++lengths;
+            ++contentLengthCount;
             m_head.contentLength = parseLength(it.value);
-            understood = understood && m_head.contentLength.has_value();
+            isValid = isValid && m_head.contentLength.has_value();
         } else if (equalsIgnoringCase(it.name, "transfer-encoding")) {
-            ++encodings;
+            ++transferEncodingCount;
             m_head.chunked = equalsIgnoringCase(it.value, "chunked");
-            understood = understood && m_head.chunked;
+            isValid = isValid && m_head.chunked;
         }
     }
-    if (!understood || lengths + encodings > 1) {
+    if (!isValid || contentLengthCount + transferEncodingCount > 1) {
         m_state = HttpParserState::Malformed;
         return false;
     }
@@ -240,7 +241,7 @@
 
 HttpParserState HttpParser::feed(std::string& input)
 {
-    if (m_state == HttpParserState::Head && !takeHead(input))
+    if (m_state == HttpParserState::Head && !parseHead(input))
         return m_state;
     if (m_state != HttpParserState::Body)
         return m_state;
--- a/core/net/http_parser.h
+++ b/core/net/http_parser.h
@@ -1,4 +1,5 @@
-// Incremental HTTP/1.1 parsing on http_parser, stricter than the library: a message that two readers could take in two ways is an error.
+// Incremental HTTP/1.1 parser based on the http_parser library, but stricter: rejects messages that different implementations could
+// interpret differently (request smuggling).
 #pragma once
 
 #include <cstdint>
@@ -11,30 +12,31 @@
 namespace Onyxnotch {
 
 struct HttpField {
-    std::string name {}; // As it was spelled.
-    std::string value {}; // Without blanks around it.
+    std::string name {}; // In its original spelling.
+    std::string value {}; // Without leading and trailing whitespace.
 
     bool operator==(const HttpField&) const = default;
 };
 
-// The start line and the header fields of a message.
+// Start line and header fields of a message.
 struct HttpHead {
     std::string method {}; // Requests only.
-    std::string target {}; // Requests only: the path with the query, unchanged.
+    std::string target {}; // Requests only: path and query, not decoded.
     int status { 0 }; // Responses only.
     std::vector<HttpField> fields {};
     std::optional<std::uint64_t> contentLength {};
     bool chunked { false };
-    bool keepAlive { true }; // The sender allows another message on this connection.
+    bool keepAlive { true }; // The connection may be reused for another message.
 
     bool operator==(const HttpHead&) const = default;
 
-    // The first field of that name, whatever its case; nullptr where there is none.
+    // Value of the first field with this name (case-insensitive); nullptr if there is none.
     const std::string* find(std::string_view name) const;
+    // Like find(), but returns an empty text if there is no such field.
     std::string_view value(std::string_view name) const;
 };
 
-// The usual words behind a status code (RFC 9110, 15).
+// Standard reason phrase of a status code (RFC 9110, section 15).
 std::string_view reasonPhrase(int status);
 
 bool equalsIgnoringCase(std::string_view, std::string_view);
@@ -44,16 +46,16 @@
     Response,
 };
 
-// What a parser has made of the bytes so far.
+// State of the message being parsed.
 enum class HttpParserState {
-    Head, // More bytes of the head are needed.
-    Body, // The head is whole, the body is not.
-    Complete, // The message is whole.
+    Head, // The head is incomplete.
+    Body, // The head is complete, the body is not.
+    Complete, // Head and body are complete.
     HeadTooLarge,
     Malformed,
 };
 
-// Parses one message, and after reset() the next one.
+// Parses one message at a time; call reset() before the next one.
 class HttpParser {
 public:
     HttpParser(HttpMessageKind, std::size_t maximumHeadBytes);
@@ -61,25 +63,25 @@
     HttpParser(const HttpParser&) = delete;
     HttpParser& operator=(const HttpParser&) = delete;
 
-    // Takes bytes from the front of `input` and removes them; bytes behind the message stay.
+    // Parses bytes from the front of `input` and removes them. Bytes after the end of the message are left in `input`.
     HttpParserState feed(std::string& input);
-    // The peer closed its side. A response without a length is complete then.
+    // Must be called when the peer has closed its sending side, which completes a response without a declared length.
     HttpParserState finish();
     HttpParserState state() const { return m_state; }
     const HttpHead& head() const { return m_head; }
-    // Decoded bytes of the body that were not taken yet.
+    // Decoded bytes of the body. The caller may remove the ones it has processed.
     std::string& body() { return m_body; }
-    // True where only the end of the connection ends the body.
+    // True if the body ends only when the connection is closed.
     bool endsWithConnection() const;
-    // Forgets the message, for the next one on the same connection.
+    // Prepares for parsing the next message on the same connection.
     void reset();
-    // The answer has no body whatever its fields say (RFC 9112, 6.3): set before feed().
+    // The response has no body regardless of its header fields, e.g. for a HEAD request (RFC 9112, section 6.3). Call before feed().
     void expectNoBody() { m_noBody = true; }
 
 private:
     struct Callbacks;
 
-    bool takeHead(std::string& input);
+    bool parseHead(std::string& input);
 
     HttpMessageKind m_kind;
     std::size_t m_maximumHeadBytes;
--- a/core/net/http_relay.cpp
+++ b/core/net/http_relay.cpp
@@ -11,7 +11,7 @@
     constexpr std::size_t maximumBufferedBytes = 1U << 20U;
     constexpr Milliseconds interruptionPoll { 100 };
 
-    // The call runs on a thread of its own and meets the server's connection in a bounded buffer.
+    // Runs the call on its own thread. A bounded buffer passes the body to the thread that writes the response.
     class Relay {
     public:
         Relay(const Address& address, HttpCall call)
@@ -48,25 +48,25 @@
         {
             bool atEventBoundary = true;
             while (true) {
-                std::string part;
+                std::string chunk;
                 bool ended = false;
                 {
                     std::unique_lock lock(m_mutex);
                     m_changed.wait_for(lock, interruptionPoll, [this] { return !m_buffer.empty() || m_ended; });
-                    part.swap(m_buffer);
+                    chunk.swap(m_buffer);
                     ended = m_ended;
                 }
                 m_changed.notify_all();
-                if (!part.empty()) {
-                    atEventBoundary = part.size() >= 2 && part.compare(part.size() - 2, 2, "\n\n") == 0;
-                    if (!writer(part))
+                if (!chunk.empty()) {
+                    atEventBoundary = chunk.size() >= 2 && chunk.compare(chunk.size() - 2, 2, "\n\n") == 0;
+                    if (!writer(chunk))
                         return;
                 }
-                if (ended && part.empty())
+                if (ended && chunk.empty())
                     return;
-                auto last = atEventBoundary && interruption ? interruption() : std::string();
-                if (!last.empty()) {
-                    writer(last);
+                auto finalText = atEventBoundary && interruption ? interruption() : std::string();
+                if (!finalText.empty()) {
+                    writer(finalText);
                     return;
                 }
             }
@@ -118,8 +118,8 @@
     HttpResponse response { .status = reply.status };
     response.contentType = reply.header("content-type");
     for (const auto& [name, value] : reply.headers) {
-        bool own = name.rfind("onyxnotch-", 0) == 0 || name == "retry-after" || name == "location";
-        if (own)
+        bool isForwardedHeader = name.rfind("onyxnotch-", 0) == 0 || name == "retry-after" || name == "location";
+        if (isForwardedHeader)
             response.headers.emplace(name, value);
     }
     response.stream = [relay, interruption = std::move(interruption)](const HttpStreamWriter& writer) { relay->writeTo(writer, interruption); };
--- a/core/net/http_relay.h
+++ b/core/net/http_relay.h
@@ -1,4 +1,4 @@
-// Passes a call on to another server and its answer back, piece by piece as it arrives.
+// Forwards an HTTP call to another server and streams the response body back as it arrives.
 #pragma once
 
 #include "core/net/http_client.h"
@@ -6,10 +6,12 @@
 
 namespace Onyxnotch {
 
-// Asked between two pieces. A text that is not empty is written as the last piece, and the relay ends.
+// Polled while the body is streamed, whenever the part written so far ends with a complete server-sent event. If it returns a non-empty
+// text, this text is written as the last part and the response ends.
 using RelayInterruption = std::function<std::string()>;
 
-// Errors: as for sendHttp. The response's stream holds the connection open as long as the other server does.
+// Blocks until the head of the response has arrived. The stream function of the returned response writes the body until the other server
+// ends it. Errors: as for sendHttp().
 Result<HttpResponse> relayHttp(const Address&, const HttpCall&, RelayInterruption);
 
 } // namespace Onyxnotch
--- a/core/net/http_server.cpp
+++ b/core/net/http_server.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    // Kept-alive connections that idle hold a thread each, so they are closed soon.
+    // Idle persistent connections occupy a thread each, so they are closed quickly.
     constexpr time_t keepAliveSeconds = 2;
     constexpr std::size_t requestsPerConnection = 100000;
     constexpr int listenBacklog = 1024;
 
-    // Of the response that this thread writes: the library has one thread for each connection.
-    thread_local std::shared_ptr<void> heldUntilWritten;
+    // HttpResponse::untilWritten of the response that this thread is writing. The library uses one thread per connection.
+    thread_local std::shared_ptr<void> resourceUntilWritten;
 
     HttpRequest fromLibrary(const httplib::Request& source)
     {
@@ -30,7 +30,7 @@
 
     void toLibrary(HttpResponse response, httplib::Response& target)
     {
-        heldUntilWritten = std::move(response.untilWritten);
+        resourceUntilWritten = std::move(response.untilWritten);
         target.status = response.status;
         for (const auto& [name, value] : response.headers)
             target.set_header(name, value);
@@ -53,7 +53,7 @@
     httplib::Server server;
     socket_t socket { INVALID_SOCKET };
     std::thread acceptThread;
-    Address bound;
+    Address boundAddress;
 };
 
 HttpServer::HttpServer(const HttpServerOptions& options)
@@ -68,9 +68,9 @@
     server.set_read_timeout(options.readTimeout);
     server.set_write_timeout(options.writeTimeout);
     server.set_payload_max_length(options.maximumBodyBytes);
-    // The library logs a response after it has written it.
-    server.set_logger([](const httplib::Request&, const httplib::Response&) { heldUntilWritten.reset(); });
-    // The library's default also sets SO_REUSEPORT, which would let two processes share a port unnoticed.
+    // The library calls the logger after it has written the response.
+    server.set_logger([](const httplib::Request&, const httplib::Response&) { resourceUntilWritten.reset(); });
+    // Replaces the default of the library, which also sets SO_REUSEPORT and would let two processes listen on the same port unnoticed.
     server.set_socket_options([implementation = m_implementation.get()](socket_t socket) {
         implementation->socket = socket;
         int enabled = 1;
@@ -107,17 +107,17 @@
         port = -1;
     if (port <= 0)
         return Error { ErrorCode::Unavailable, "cannot listen on " + options.host + ":" + std::to_string(options.port) };
-    // The library listens with a backlog of 5, so that a burst of callers would wait a second for its SYN to be sent again.
+    // The library listens with a backlog of 5. In a burst of connections, SYNs would be dropped and retransmitted only after 1 s.
     ::listen(m_implementation->socket, listenBacklog);
-    m_implementation->bound = Address { .host = options.host, .port = static_cast<std::uint16_t>(port) };
+    m_implementation->boundAddress = Address { .host = options.host, .port = static_cast<std::uint16_t>(port) };
     m_implementation->acceptThread = std::thread([implementation = m_implementation.get()] { implementation->server.listen_after_bind(); });
-    // stop() has no effect on a server that is not yet running.
+    // httplib::Server::stop() has no effect before the server is running, so wait for it.
     while (!server.is_running())
         std::this_thread::yield();
     return success();
 }
 
-Address HttpServer::address() const { return m_implementation->bound; }
+Address HttpServer::address() const { return m_implementation->boundAddress; }
 
 void HttpServer::stop()
 {
--- a/core/net/http_server.h
+++ b/core/net/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server on cpp-httplib: one thread for each open connection, from a pool of a fixed size.
+// HTTP/1.1 server based on cpp-httplib. Each open connection occupies one thread of a fixed-size pool.
 #pragma once
 
 #include "core/clock.h"
@@ -11,10 +11,10 @@
 
 struct HttpServerOptions {
     std::string host { "127.0.0.1" };
-    std::uint16_t port { 0 }; // 0 takes any free port.
-    unsigned threads { 64 }; // The greatest number of connections that are served at once.
-    std::size_t maximumBodyBytes { 4U << 20U }; // A larger body is answered 413.
-    Milliseconds readTimeout { 5000 }; // A request that takes longer to arrive is dropped.
+    std::uint16_t port { 0 }; // 0 selects any free port.
+    unsigned threads { 64 }; // Maximum number of connections served concurrently.
+    std::size_t maximumBodyBytes { 4U << 20U }; // Requests with a larger body are answered with status 413.
+    Milliseconds readTimeout { 5000 }; // A connection on which no data arrives for this long during a request is closed.
     Milliseconds writeTimeout { 5000 };
 };
 
@@ -27,12 +27,12 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    // `pattern` is a regular expression over the whole path. Must be called before start().
+    // Registers a handler. `pattern` is a regular expression that must match the complete path. Call before start().
     void route(const std::string& method, const std::string& pattern, Handler);
-    // Binds and serves on threads of its own. Errors: Unavailable where the address cannot be bound.
+    // Binds the address and starts serving in background threads. Errors: Unavailable if the address cannot be bound.
     Status start();
     Address address() const;
-    // Stops accepting, waits for the responses that are being written.
+    // Stops accepting connections and waits until the responses in progress have been written.
     void stop();
 
 private:
--- a/core/net/http_status.h
+++ b/core/net/http_status.h
@@ -1,4 +1,4 @@
-// The HTTP status codes that are used here (RFC 9110).
+// The HTTP status codes used in this project (RFC 9110).
 #pragma once
 
 namespace Onyxnotch::HttpStatus {
@@ -24,13 +24,13 @@
 constexpr int serviceUnavailable = 503;
 constexpr int gatewayTimeout = 504;
 
-// Answers by which a caller may know that its request has not run, and never will.
+// True for status codes by which onyxnotch guarantees its clients that a request has not been and will not be executed.
 constexpr bool promisesNotRun(int status)
 {
     return status == requestTimeout || status == misdirected || status == tooManyRequests || status == serviceUnavailable;
 }
 
-// Whether it turns its request away, rather than saying something of the request.
+// True for status codes by which an endpoint refuses a request because of its own state, not because of the content of the request.
 constexpr bool turnsAway(int status) { return status == tooManyRequests || status == serviceUnavailable; }
 
 } // namespace Onyxnotch::HttpStatus
--- a/core/net/peer_connection.cpp
+++ b/core/net/peer_connection.cpp
@@ -21,7 +21,7 @@
         return Frame { .type = MessageType::Error, .payload = std::move(message) };
     }
 
-    // Drives one call on an io_context of its own, which gives every step a deadline.
+    // One request and response. Runs on its own io_context, so that each step can be limited by the deadline.
     class PeerCall {
     public:
         PeerCall(const Address& address, const Frame& frame, Milliseconds timeout)
@@ -36,32 +36,32 @@
             asio::error_code ec;
             auto host = asio::ip::make_address(m_address.host, ec);
             if (ec)
-                return failed(ErrorCode::Unavailable, ec.message());
+                return makeError(ErrorCode::Unavailable, ec.message());
             m_socket.async_connect(tcp::endpoint(host, m_address.port), [&](const asio::error_code& result) { finish(result); });
             if (!wait())
-                return failed(ErrorCode::Unavailable, m_result.message());
+                return makeError(ErrorCode::Unavailable, m_result.message());
             m_socket.set_option(tcp::no_delay(true), ec);
             asio::async_write(m_socket, asio::buffer(m_request), [&](const asio::error_code& result, std::size_t) { finish(result); });
             if (!wait())
-                return failed(ErrorCode::Ambiguous, m_result.message());
-            return readAnswer();
+                return makeError(ErrorCode::Ambiguous, m_result.message());
+            return readResponse();
         }
 
     private:
-        Result<Frame> readAnswer()
+        Result<Frame> readResponse()
         {
             std::string header(frameHeaderBytes, '\0');
             if (!read(header))
-                return failed(ErrorCode::Ambiguous, m_result.message());
+                return makeError(ErrorCode::Ambiguous, m_result.message());
             auto decoded = decodeFrameHeader(header);
             if (!decoded)
-                return failed(ErrorCode::Ambiguous, decoded.error().message);
+                return makeError(ErrorCode::Ambiguous, decoded.error().message);
             std::string payload(decoded.value().payloadBytes, '\0');
             if (!read(payload))
-                return failed(ErrorCode::Ambiguous, m_result.message());
+                return makeError(ErrorCode::Ambiguous, m_result.message());
             auto frame = checkPayload(decoded.value(), std::move(payload));
             if (!frame)
-                return failed(ErrorCode::Ambiguous, frame.error().message);
+                return makeError(ErrorCode::Ambiguous, frame.error().message);
             return frame;
         }
 
@@ -93,7 +93,7 @@
             return false;
         }
 
-        Error failed(ErrorCode code, const std::string& reason) const
+        Error makeError(ErrorCode code, const std::string& reason) const
         {
             return Error { code, m_address.text() + ": " + reason };
         }
@@ -107,7 +107,7 @@
         bool m_finished { false };
     };
 
-    // Serves the frames of one accepted connection, one after the other.
+    // Serves the request frames of one accepted connection sequentially.
     class PeerSession : public std::enable_shared_from_this<PeerSession> {
     public:
         PeerSession(tcp::socket socket, const PeerServer::Handler& handler, Milliseconds readTimeout, std::atomic<unsigned>& openConnections)
@@ -148,7 +148,7 @@
         {
             auto header = decodeFrameHeader(m_header);
             if (!header) {
-                answer(errorFrame(header.error().message), false);
+                sendResponse(errorFrame(header.error().message), false);
                 return;
             }
             m_payload.assign(header.value().payloadBytes, '\0');
@@ -163,17 +163,17 @@
         {
             auto frame = checkPayload(header, std::move(m_payload));
             if (!frame) {
-                answer(errorFrame(frame.error().message), false);
+                sendResponse(errorFrame(frame.error().message), false);
                 return;
             }
-            answer(m_handler(frame.value()), true);
+            sendResponse(m_handler(frame.value()), true);
         }
 
-        void answer(const Frame& frame, bool keepOpen)
+        void sendResponse(const Frame& frame, bool keepOpen)
         {
             m_timer.cancel();
-            m_answer = encodeFrame(frame);
-            asio::async_write(m_socket, asio::buffer(m_answer), [self = shared_from_this(), keepOpen](const asio::error_code& ec, std::size_t) {
+            m_response = encodeFrame(frame);
+            asio::async_write(m_socket, asio::buffer(m_response), [self = shared_from_this(), keepOpen](const asio::error_code& ec, std::size_t) {
                 if (!ec && keepOpen)
                     self->readHeader();
             });
@@ -186,7 +186,7 @@
         std::atomic<unsigned>& m_openConnections;
         std::string m_header;
         std::string m_payload;
-        std::string m_answer;
+        std::string m_response;
     };
 
 } // namespace
@@ -214,7 +214,7 @@
     asio::io_context context;
     tcp::acceptor acceptor { context };
     std::vector<std::thread> threads;
-    Address bound;
+    Address boundAddress;
 };
 
 PeerServer::PeerServer(const PeerServerOptions& options, Handler handler)
@@ -241,14 +241,14 @@
         it.acceptor.listen(asio::socket_base::max_listen_connections, ec);
     if (ec)
         return Error { ErrorCode::Unavailable, "cannot listen on " + it.options.host + ":" + std::to_string(it.options.port) + ": " + ec.message() };
-    it.bound = Address { .host = it.options.host, .port = it.acceptor.local_endpoint().port() };
+    it.boundAddress = Address { .host = it.options.host, .port = it.acceptor.local_endpoint().port() };
     it.accept();
     for (unsigned n = 0; n < it.options.threads; ++n)
         it.threads.emplace_back([&it] { it.context.run(); });
     return success();
 }
 
-Address PeerServer::address() const { return m_implementation->bound; }
+Address PeerServer::address() const { return m_implementation->boundAddress; }
 
 void PeerServer::stop()
 {
@@ -286,7 +286,7 @@
     udp::endpoint sender;
     std::array<char, maximumDatagramBytes> buf {};
     std::thread thread;
-    Address bound;
+    Address boundAddress;
 };
 
 DatagramSocket::DatagramSocket(const std::string& host, std::uint16_t port, Receiver receiver)
@@ -310,7 +310,7 @@
         it.socket.bind(udp::endpoint(host, it.port), ec);
     if (ec)
         return Error { ErrorCode::Unavailable, "cannot bind " + it.host + ":" + std::to_string(it.port) + ": " + ec.message() };
-    it.bound = Address { .host = it.host, .port = it.socket.local_endpoint().port() };
+    it.boundAddress = Address { .host = it.host, .port = it.socket.local_endpoint().port() };
     it.receive();
     it.thread = std::thread([&it] { it.context.run(); });
     return success();
@@ -326,7 +326,7 @@
     m_implementation->socket.send_to(asio::buffer(bytes), udp::endpoint(host, address.port), 0, ec);
 }
 
-Address DatagramSocket::address() const { return m_implementation->bound; }
+Address DatagramSocket::address() const { return m_implementation->boundAddress; }
 
 void DatagramSocket::stop()
 {
--- a/core/net/peer_connection.h
+++ b/core/net/peer_connection.h
@@ -1,4 +1,4 @@
-// One request and one answer between two of our processes over TCP, as frames.
+// Communication between onyxnotch processes: frames as requests and responses over TCP, and as datagrams over UDP.
 #pragma once
 
 #include "core/clock.h"
@@ -9,18 +9,19 @@
 
 namespace Onyxnotch {
 
-// Blocks for the answer, `timeout` at most. Errors: Unavailable where the connection was never made, so the peer has not acted;
-// Ambiguous where it may have acted.
+// Sends a request on a new TCP connection and blocks until the response arrives, for at most `timeout`. Errors: Unavailable if the
+// connection could not be established, so that the peer has not received the request; Ambiguous if the peer may have processed it.
 Result<Frame> callPeer(const Address&, const Frame&, Milliseconds timeout);
 
 struct PeerServerOptions {
     std::string host { "127.0.0.1" };
     std::uint16_t port { 0 };
-    unsigned threads { 4 }; // Handlers run on these.
-    Milliseconds readTimeout { 5000 }; // A frame that takes longer to arrive ends its connection.
-    unsigned maximumConnections { 1024 }; // One more is closed at once.
+    unsigned threads { 4 }; // Threads that run the handlers.
+    Milliseconds readTimeout { 5000 }; // The connection is closed if the next frame does not arrive completely within this time.
+    unsigned maximumConnections { 1024 }; // Connections beyond this number are closed immediately.
 };
 
+// TCP server for frames: answers each request frame with the frame returned by the handler.
 class PeerServer {
 public:
     using Handler = std::function<Frame(const Frame&)>;
@@ -39,7 +40,7 @@
     std::shared_ptr<Implementation> m_implementation {};
 };
 
-// Datagrams, each one frame. A damaged one is dropped.
+// UDP socket that sends and receives frames, one per datagram. Invalid datagrams are dropped.
 class DatagramSocket {
 public:
     using Receiver = std::function<void(const Frame&)>;
@@ -50,7 +51,7 @@
     DatagramSocket& operator=(const DatagramSocket&) = delete;
 
     Status start();
-    // Best effort, never blocks.
+    // Best effort: errors are ignored, and delivery is not acknowledged. Never blocks.
     void send(const Address&, const Frame&);
     Address address() const;
     void stop();
--- a/core/net/retry_after.h
+++ b/core/net/retry_after.h
@@ -1,4 +1,4 @@
-// The time that a refusal names, in a field "Retry-After" (RFC 9110, 10.2.3).
+// Parses the HTTP header field "Retry-After" (RFC 9110, section 10.2.3).
 #pragma once
 
 #include "core/clock.h"
@@ -7,11 +7,11 @@
 
 namespace Onyxnotch {
 
-// More is taken as this: nothing that a peer says may overflow a time.
+// Larger values are reduced to this, so that no received value can overflow a duration.
 constexpr Milliseconds longestRetryAfter { std::chrono::hours(24) };
 
-// Seconds, which may have a fraction and are rounded up to milliseconds. A number below zero, a date (its clock is not ours) or anything
-// else is not understood: empty.
+// Parses a number of seconds, optionally with a fraction, and rounds it up to milliseconds. Returns an empty value for anything else,
+// including negative numbers and dates. Dates are not supported because the clock of the sender may differ from the local one.
 std::optional<Milliseconds> parseRetryAfter(std::string_view);
 
 } // namespace Onyxnotch
--- a/core/net/server_sent_events.cpp
+++ b/core/net/server_sent_events.cpp
@@ -22,14 +22,14 @@
         if (!line.empty() && line.back() == '\r')
             line.remove_suffix(1);
         begin = end + 1;
-        if (!takeLine(line))
+        if (!processLine(line))
             return false;
     }
     m_buffer.erase(0, begin);
     return m_buffer.size() <= maximumLineBytes;
 }
 
-bool ServerSentEventParser::takeLine(std::string_view line)
+bool ServerSentEventParser::processLine(std::string_view line)
 {
     if (line.empty()) {
         auto event = std::move(m_event);
@@ -63,13 +63,13 @@
         text += "id: " + event.id + "\n";
     if (!event.name.empty())
         text += "event: " + event.name + "\n";
-    std::string_view rest = event.data;
+    std::string_view remaining = event.data;
     while (true) {
-        auto end = rest.find('\n');
-        text += "data: " + std::string(rest.substr(0, end)) + "\n";
+        auto end = remaining.find('\n');
+        text += "data: " + std::string(remaining.substr(0, end)) + "\n";
         if (end == std::string_view::npos)
             break;
-        rest.remove_prefix(end + 1);
+        remaining.remove_prefix(end + 1);
     }
     return text + "\n";
 }
--- a/core/net/server_sent_events.h
+++ b/core/net/server_sent_events.h
@@ -1,4 +1,4 @@
-// Server-sent events (the WHATWG HTML standard, section 9.2): an incremental parser and a writer.
+// Incremental parser and writer for server-sent events (WHATWG HTML standard, section 9.2).
 #pragma once
 
 #include <functional>
@@ -15,19 +15,19 @@
     bool operator==(const ServerSentEvent&) const = default;
 };
 
-// Takes bytes as they arrive. An event without its closing blank line is never reported.
+// Parses bytes as they arrive and passes each event to the receiver. An event is reported only after its terminating blank line.
 class ServerSentEventParser {
 public:
-    // Return false to stop.
+    // Returns false to stop parsing.
     using Receiver = std::function<bool(const ServerSentEvent&)>;
 
     explicit ServerSentEventParser(Receiver);
 
-    // False where the receiver asked to stop, or a line is longer than 16 MiB.
+    // Returns false if the receiver stopped, or a line is longer than 16 MiB.
     bool feed(std::string_view bytes);
 
 private:
-    bool takeLine(std::string_view line);
+    bool processLine(std::string_view line);
 
     Receiver m_receiver;
     std::string m_buffer {};
--- a/core/outcome.h
+++ b/core/outcome.h
@@ -1,5 +1,5 @@
-// Outcomes: every operation that can fail returns a value that says so.
-// Exceptions are caught at the edge of each library that throws; none crosses our own interfaces.
+// Result and error types. Every operation that can fail returns a Result or Status. Exceptions of third-party libraries are caught where
+// the library is called and never propagate through the interfaces of this project.
 #pragma once
 
 #include <boost/outcome.hpp>
@@ -8,21 +8,21 @@
 
 namespace Onyxnotch {
 
-// What kind of failure happened. Callers branch on the code; people read the message.
+// Kind of a failure. Program logic uses only the code; the message is for humans.
 enum class ErrorCode {
-    InvalidArgument, // The input is malformed or breaks a rule.
-    NotFound, // The thing asked for does not exist.
-    Conflict, // A conditional update lost, or two declarations disagree.
-    Unauthorized, // The caller's key is missing or unknown, or the object belongs to another team.
-    Unavailable, // The peer refused or could not be reached; it has certainly not acted.
-    Ambiguous, // The peer may have acted; its answer was lost.
-    Exhausted, // A limit that settings name is reached.
-    Stopped, // This process is leaving.
+    InvalidArgument, // The input is malformed or violates a rule.
+    NotFound, // The requested object does not exist.
+    Conflict, // The condition of an update was not met, or two declarations contradict each other.
+    Unauthorized, // The client's API key is missing or unknown, or the object belongs to another team.
+    Unavailable, // The peer refused or was unreachable; it has definitely not executed the operation.
+    Ambiguous, // The response was lost; the peer may have executed the operation.
+    Exhausted, // A limit has been reached.
+    Stopped, // This process is shutting down.
 };
 
 std::string_view toString(ErrorCode);
 
-// A failure: its kind, and a sentence for people.
+// A failure: its kind, and a human-readable message.
 struct Error {
     ErrorCode code { ErrorCode::InvalidArgument };
     std::string message {};
@@ -30,13 +30,13 @@
     bool operator==(const Error&) const = default;
 };
 
-// Reading the wrong half of an outcome is a broken invariant and stops the process.
+// A value or an Error. Accessing the one that is not present is a programming error and terminates the process.
 template <typename T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<T, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
 using Status = Result<void>;
 
-// The success value of a Status.
+// A Status without error.
 inline auto success() { return BOOST_OUTCOME_V2_NAMESPACE::success(); }
 
 } // namespace Onyxnotch
--- a/core/recent_most.h
+++ b/core/recent_most.h
@@ -1,4 +1,4 @@
-// The largest of the values of the last while. Pure, with the time passed in.
+// Sliding-window maximum: the largest value observed within a time window. The current time is passed in by the caller.
 #pragma once
 
 #include "core/clock.h"
@@ -8,15 +8,15 @@
 
 class RecentMost {
 public:
-    // Takes a value, and returns the largest since `now - memory`.
-    unsigned take(unsigned value, SteadyTime now, Milliseconds memory)
+    // Adds a value observed at `now` and returns the largest value observed since `now - window`. `now` must not decrease between calls.
+    unsigned take(unsigned value, SteadyTime now, Milliseconds window)
     {
-        while (!m_falling.empty() && m_falling.back().value <= value)
-            m_falling.pop_back();
-        m_falling.push_back({ .at = now, .value = value });
-        while (now - m_falling.front().at > memory)
-            m_falling.pop_front();
-        return m_falling.front().value;
+        while (!m_decreasing.empty() && m_decreasing.back().value <= value)
+            m_decreasing.pop_back();
+        m_decreasing.push_back({ .at = now, .value = value });
+        while (now - m_decreasing.front().at > window)
+            m_decreasing.pop_front();
+        return m_decreasing.front().value;
     }
 
 private:
@@ -25,7 +25,7 @@
         unsigned value { 0 };
     };
 
-    std::deque<Entry> m_falling {}; // Each is smaller than the one before it.
+    std::deque<Entry> m_decreasing {}; // Oldest first; values strictly decreasing.
 };
 
 } // namespace Onyxnotch
--- a/core/settings_file.h
+++ b/core/settings_file.h
@@ -1,4 +1,4 @@
-// Settings files: JSON, checked against a schema that also holds the defaults.
+// Reads settings files: JSON validated against a JSON Schema, which also defines the default values.
 #pragma once
 
 #include "core/outcome.h"
@@ -7,8 +7,8 @@
 
 namespace Onyxnotch {
 
-// Reads the file, checks it against the schema and fills in the defaults. Errors: InvalidArgument, with a line for each rule that is
-// broken: the file, the key as a JSON pointer, the reason.
+// Reads the file, validates it against the schema and adds the defaults. Errors: those of readFile(), or InvalidArgument for invalid JSON
+// and schema violations. The message has one line per violation: the file, the key as a JSON pointer, the reason.
 Result<nlohmann::json> readSettingsFile(const std::string& path, const std::string& schema);
 
 } // namespace Onyxnotch
--- a/core/steady_timer.h
+++ b/core/steady_timer.h
@@ -1,4 +1,4 @@
-// The timer of everything that waits: it goes by the clock that counts a suspension of the instance.
+// Asio timer based on InstanceClock, which keeps running while the instance (the machine) is suspended.
 #pragma once
 
 #include "core/clock.h"
@@ -12,14 +12,15 @@
 
 namespace detail {
 
-    // The kernel's timers stand still while the instance is suspended. So none is asked for more than this at once, and what should have
-    // ended meanwhile ends that soon after the resume: as soon as a node tells the others of itself.
+    // Kernel timers stop while the instance is suspended. Waits are therefore split into kernel waits of at most `maximumWait`, so that a
+    // timer that expired during a suspension fires at most this long after the resume. 250 ms is also the interval at which a node
+    // publishes its state to its peers.
     struct SteadyWaitTraits {
-        static constexpr Milliseconds longest { 250 };
+        static constexpr Milliseconds maximumWait { 250 };
 
-        // The names are Asio's.
+        // Asio requires these names.
         // NOLINTBEGIN(readability-identifier-naming)
-        static InstanceClock::duration to_wait_duration(const InstanceClock::duration& duration) { return std::min<InstanceClock::duration>(duration, longest); }
+        static InstanceClock::duration to_wait_duration(const InstanceClock::duration& duration) { return std::min<InstanceClock::duration>(duration, maximumWait); }
         static InstanceClock::duration to_wait_duration(const SteadyTime& time) { return to_wait_duration(time - steadyNow()); }
         // NOLINTEND(readability-identifier-naming)
     };
@@ -28,7 +29,7 @@
 
 using SteadyTimer = asio::basic_waitable_timer<InstanceClock, detail::SteadyWaitTraits>;
 
-// Returns after that time, or when the context is stopped.
+// Completes after `duration`, or earlier if the wait fails.
 inline asio::awaitable<void> sleepFor(asio::io_context& context, Milliseconds duration)
 {
     SteadyTimer timer(context);
--- a/core/stop_signal.cpp
+++ b/core/stop_signal.cpp
@@ -22,7 +22,7 @@
 {
     auto signals = stopSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A peer that closes early must not end the process.
+    // Writing to a socket that the peer has closed must not terminate the process.
     struct sigaction ignore { };
     ignore.sa_handler = SIG_IGN;
     sigaction(SIGPIPE, &ignore, nullptr);
--- a/core/stop_signal.h
+++ b/core/stop_signal.h
@@ -1,18 +1,19 @@
-// SIGTERM and SIGINT as a value to wait for.
+// Waits synchronously for SIGTERM or SIGINT.
 #pragma once
 
 #include "core/clock.h"
 
 namespace Onyxnotch {
 
-// Construct it before any thread starts: it blocks both signals for the whole process. One object a process.
+// Blocks SIGTERM and SIGINT for the calling thread and all threads started later, and ignores SIGPIPE. Construct a single instance per
+// process, before any thread is started.
 class StopSignal {
 public:
     StopSignal();
 
-    // Blocks until a signal arrives.
+    // Blocks until one of the signals is received.
     void wait();
-    // Returns true where a signal arrived within `limit`.
+    // Returns true if a signal is received within `limit`.
     bool waitFor(Milliseconds limit);
 };
 
--- a/core/text.h
+++ b/core/text.h
@@ -1,4 +1,4 @@
-// Small helpers for texts.
+// String helpers.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace Onyxnotch {
 
-// ASCII letters only.
+// Converts ASCII letters to lower case; other bytes are unchanged.
 inline std::string lowerCase(std::string text)
 {
     std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
--- a/core/timer_service.h
+++ b/core/timer_service.h
@@ -1,4 +1,4 @@
-// The one timer of a process. Parts subscribe to it instead of owning threads that sleep.
+// Thread pool shared by a process for periodic and one-time callbacks, so that components need no sleeping threads of their own.
 #pragma once
 
 #include "core/clock.h"
@@ -7,12 +7,12 @@
 
 namespace Onyxnotch {
 
-// Runs subscribed callbacks on a small thread pool. A callback never runs twice at once:
-// its next period starts when it returns.
+// Runs subscribed callbacks on a small thread pool. Runs of the same callback never overlap: the next period starts when the callback
+// returns.
 class TimerService {
 public:
-    // Cancels its callback when destroyed, and waits for one that is running.
-    // It must not be destroyed by that callback itself.
+    // Handle of a periodic callback. Destroying it cancels the callback and waits for a run in progress, so it must not be destroyed by
+    // the callback itself.
     class Subscription {
     public:
         Subscription() = default;
@@ -33,11 +33,11 @@
     TimerService(const TimerService&) = delete;
     TimerService& operator=(const TimerService&) = delete;
 
-    // Runs `callback` every `period`, first after one period.
+    // Runs `callback` every `period`; the first run is after one period.
     [[nodiscard]] Subscription every(Milliseconds period, std::function<void()> callback);
-    // Runs `callback` once, on the pool, as soon as a thread is free.
+    // Runs `callback` once, as soon as a thread of the pool is free.
     void post(std::function<void()> callback);
-    // Stops the pool; callbacks that run are waited for.
+    // Stops the pool and waits for the callbacks that are running.
     void stop();
 
 private:
--- a/core/utf8.cpp
+++ b/core/utf8.cpp
@@ -6,8 +6,9 @@
 
     unsigned char byteAt(std::string_view text, std::size_t at) { return static_cast<unsigned char>(text[at]); }
 
-    // Of the character that begins at `at`; 0 where none does. Overlong forms, surrogates and numbers above U+10FFFF are none.
-    std::size_t characterLength(std::string_view text, std::size_t at)
+    // Length in bytes of the UTF-8 sequence that starts at `at`; 0 if it is invalid. Overlong encodings, surrogates and code points above
+    // U+10FFFF are invalid.
+    std::size_t sequenceLength(std::string_view text, std::size_t at)
     {
         auto first = byteAt(text, at);
         if (first < 0x80)
@@ -21,14 +22,14 @@
         }
         auto second = byteAt(text, at + 1);
         bool isOverlong = (first == 0xE0 && second < 0xA0) || (first == 0xF0 && second < 0x90);
-        bool isNoCharacter = (first == 0xED && second >= 0xA0) || (first == 0xF4 && second >= 0x90);
-        return isOverlong || isNoCharacter ? 0 : length;
+        bool isInvalidCodePoint = (first == 0xED && second >= 0xA0) || (first == 0xF4 && second >= 0x90);
+        return isOverlong || isInvalidCodePoint ? 0 : length;
     }
 
-    std::size_t soundPrefix(std::string_view text, std::size_t at)
+    std::size_t validUntil(std::string_view text, std::size_t at)
     {
         while (at < text.size()) {
-            auto length = characterLength(text, at);
+            auto length = sequenceLength(text, at);
             if (length == 0)
                 break;
             at += length;
@@ -40,20 +41,20 @@
 
 std::string readableText(std::string text)
 {
-    auto sound = soundPrefix(text, 0);
-    if (sound == text.size())
+    auto validEnd = validUntil(text, 0);
+    if (validEnd == text.size())
         return text;
-    std::string readable;
+    std::string sanitized;
     std::size_t begin = 0;
     while (begin < text.size()) {
-        readable.append(text, begin, sound - begin);
-        if (sound == text.size())
+        sanitized.append(text, begin, validEnd - begin);
+        if (validEnd == text.size())
             break;
-        readable += unreadableMark;
-        begin = sound + 1;
-        sound = soundPrefix(text, begin);
+        sanitized += unreadableMark;
+        begin = validEnd + 1;
+        validEnd = validUntil(text, begin);
     }
-    return readable;
+    return sanitized;
 }
 
 } // namespace Onyxnotch
--- a/core/utf8.h
+++ b/core/utf8.h
@@ -1,4 +1,4 @@
-// Text of other writers that may hold bytes which are no UTF-8.
+// Sanitizes text from other processes that may not be valid UTF-8.
 #pragma once
 
 #include <string>
@@ -6,10 +6,10 @@
 
 namespace Onyxnotch {
 
-// Stands where bytes could not be read (U+FFFD).
+// The Unicode replacement character (U+FFFD), which replaces invalid bytes.
 constexpr std::string_view unreadableMark = "\xEF\xBF\xBD";
 
-// The text with a mark in the place of each byte that belongs to no character. A text that is sound comes back as it is.
+// Replaces each byte that is not part of a valid UTF-8 sequence by `unreadableMark`. Valid text is returned unchanged.
 std::string readableText(std::string text);
 
 } // namespace Onyxnotch
--- a/tests/core/net/test_frame.cpp
+++ b/tests/core/net/test_frame.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(Frames)
 
-BOOST_AUTO_TEST_CASE(a_frame_comes_back_as_it_was)
+BOOST_AUTO_TEST_CASE(decoding_restores_an_encoded_frame)
 {
     Tests::checkProperty("encode and decode", [](const std::string& payload) {
         Frame frame { .type = MessageType::Gossip, .payload = payload };
@@ -16,7 +16,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(damage_of_any_byte_is_noticed)
+BOOST_AUTO_TEST_CASE(corruption_of_any_byte_is_detected)
 {
     Tests::checkProperty("one byte changed", [](std::string payload) {
         payload += "x";
@@ -24,13 +24,13 @@
         auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
         bytes[at] = static_cast<char>(bytes[at] ^ 0x40);
         auto decoded = decodeFrame(bytes);
-        // The type is the one field that a checksum of the payload does not cover; its receiver refuses another type.
+        // A changed type is not detected here, since the checksum covers only the payload; the receiver rejects an unexpected type.
         bool typeChanged = at == 6 || at == 7;
         RC_ASSERT(typeChanged || !decoded.has_value());
     });
 }
 
-BOOST_AUTO_TEST_CASE(truncated_frames_and_other_versions_are_refused)
+BOOST_AUTO_TEST_CASE(truncated_frames_and_other_versions_are_rejected)
 {
     auto bytes = encodeFrame({ .type = MessageType::Gossip, .payload = "payload" });
     for (std::size_t n = 0; n < bytes.size(); ++n)
@@ -41,25 +41,26 @@
     BOOST_CHECK_EQUAL(other.error().message, "unknown frame version");
 }
 
-BOOST_AUTO_TEST_CASE(garbage_is_no_message)
+BOOST_AUTO_TEST_CASE(unpacking_garbage_does_not_crash)
 {
     Tests::checkProperty("garbage payload", [](const std::string& payload) {
         Frame frame { .type = MessageType::JoinReply, .payload = payload };
-        // Either an error or a message, never a crash.
+        // May succeed or return an error, but must not crash.
         (void)unpackMessage<JoinReplyMessage>(MessageType::JoinReply, frame);
     });
 }
 
-// A size that was read from a message was allocated before the bytes were found missing: forty bytes could take all memory.
-BOOST_AUTO_TEST_CASE(a_message_that_claims_more_than_it_holds_is_refused)
+// Guards against allocating the container size declared in a message before checking that the data is present: a message of 40 bytes could
+// exhaust all memory.
+BOOST_AUTO_TEST_CASE(a_message_that_declares_more_than_it_contains_is_rejected)
 {
     std::vector<std::string> texts { "a", "b", "c" };
     auto frame = packMessage(MessageType::Gossip, texts);
     BOOST_TEST((unpackMessage<std::vector<std::string>>(MessageType::Gossip, frame).value() == texts));
-    auto claims = frame;
+    auto oversized = frame;
     for (std::size_t at = 1; at < 9; ++at) {
-        claims.payload[at] = '\x7F';
-        BOOST_TEST(!unpackMessage<std::vector<std::string>>(MessageType::Gossip, claims));
+        oversized.payload[at] = '\x7F';
+        BOOST_TEST(!unpackMessage<std::vector<std::string>>(MessageType::Gossip, oversized));
     }
     for (std::size_t n = 0; n < frame.payload.size(); ++n)
         BOOST_TEST(!unpackMessage<std::vector<std::string>>(MessageType::Gossip, { .type = MessageType::Gossip, .payload = frame.payload.substr(0, n) }));
--- a/tests/core/net/test_http_parser.cpp
+++ b/tests/core/net/test_http_parser.cpp
@@ -12,16 +12,16 @@
     HttpParserState state;
     HttpHead head;
     std::string body;
-    std::string rest;
+    std::string unparsed;
 };
 
-// Feeds the bytes in pieces of a size.
-Parsed parse(HttpMessageKind kind, const std::string& bytes, std::size_t piece = 1U << 20U)
+// Feeds `bytes` to a parser in pieces of `pieceBytes` bytes.
+Parsed parse(HttpMessageKind kind, const std::string& bytes, std::size_t pieceBytes = 1U << 20U)
 {
     HttpParser parser(kind, headLimit);
     std::string input;
-    for (std::size_t at = 0; at < bytes.size(); at += piece) {
-        input += bytes.substr(at, piece);
+    for (std::size_t at = 0; at < bytes.size(); at += pieceBytes) {
+        input += bytes.substr(at, pieceBytes);
         parser.feed(input);
     }
     return { parser.state(), parser.head(), parser.body(), input };
@@ -36,13 +36,13 @@
 BOOST_AUTO_TEST_CASE(a_request_with_a_length_in_any_pieces)
 {
     std::string bytes = "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length:  5 \r\n\r\nhelloGET";
-    for (std::size_t piece : { 1UL, 2UL, 7UL, 1000UL }) {
-        auto parsed = parse(HttpMessageKind::Request, bytes, piece);
+    for (std::size_t pieceBytes : { 1UL, 2UL, 7UL, 1000UL }) {
+        auto parsed = parse(HttpMessageKind::Request, bytes, pieceBytes);
         BOOST_TEST((parsed.state == HttpParserState::Complete));
         BOOST_TEST(parsed.head.method == "POST");
         BOOST_TEST(parsed.head.target == "/a/b?c=d");
         BOOST_TEST(parsed.body == "hello");
-        BOOST_TEST(parsed.rest == "GET");
+        BOOST_TEST(parsed.unparsed == "GET");
         BOOST_TEST(parsed.head.keepAlive);
     }
 }
@@ -50,12 +50,12 @@
 BOOST_AUTO_TEST_CASE(chunks_are_decoded_and_the_next_message_stays)
 {
     std::string bytes = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nHTTP/1.1 500";
-    for (std::size_t piece : { 1UL, 3UL, 1000UL }) {
-        auto parsed = parse(HttpMessageKind::Response, bytes, piece);
+    for (std::size_t pieceBytes : { 1UL, 3UL, 1000UL }) {
+        auto parsed = parse(HttpMessageKind::Response, bytes, pieceBytes);
         BOOST_TEST((parsed.state == HttpParserState::Complete));
         BOOST_TEST(parsed.head.status == 200);
         BOOST_TEST(parsed.body == "abcde");
-        BOOST_TEST(parsed.rest == "HTTP/1.1 500");
+        BOOST_TEST(parsed.unparsed == "HTTP/1.1 500");
     }
 }
 
@@ -70,7 +70,7 @@
     BOOST_TEST(parser.body() == "ab");
 }
 
-BOOST_AUTO_TEST_CASE(a_cut_response_is_not_complete)
+BOOST_AUTO_TEST_CASE(a_truncated_response_is_not_complete)
 {
     for (const auto* bytes : { "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "HTTP/1.1 200" }) {
         HttpParser parser(HttpMessageKind::Response, headLimit);
@@ -80,7 +80,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(what_could_be_read_in_two_ways_is_malformed)
+BOOST_AUTO_TEST_CASE(ambiguous_messages_are_malformed)
 {
     for (const auto* fields : { "Content-Length: 1\r\nContent-Length: 1\r\n", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n",
              "Transfer-Encoding: gzip, chunked\r\n", "Transfer-Encoding: identity\r\n", "Content-Length: +1\r\n", "Content-Length: 1,1\r\n",
@@ -97,12 +97,12 @@
 
 BOOST_AUTO_TEST_CASE(a_head_over_the_limit)
 {
-    auto small = "GET / HTTP/1.1\r\nX: " + std::string(headLimit, 'a');
-    BOOST_TEST((stateOf(small + "\r\n\r\n") == HttpParserState::HeadTooLarge));
-    BOOST_TEST((stateOf(small) == HttpParserState::HeadTooLarge));
+    auto unterminated = "GET / HTTP/1.1\r\nX: " + std::string(headLimit, 'a');
+    BOOST_TEST((stateOf(unterminated + "\r\n\r\n") == HttpParserState::HeadTooLarge));
+    BOOST_TEST((stateOf(unterminated) == HttpParserState::HeadTooLarge));
 }
 
-BOOST_AUTO_TEST_CASE(a_parser_is_used_again)
+BOOST_AUTO_TEST_CASE(a_parser_can_be_reused_after_reset)
 {
     HttpParser parser(HttpMessageKind::Request, headLimit);
     std::string input = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\nConnection: close\r\n\r\n";
--- a/tests/core/net/test_server_sent_events.cpp
+++ b/tests/core/net/test_server_sent_events.cpp
@@ -6,9 +6,9 @@
 
 BOOST_AUTO_TEST_SUITE(ServerSentEvents)
 
-BOOST_AUTO_TEST_CASE(events_come_back_whatever_the_pieces)
+BOOST_AUTO_TEST_CASE(parsing_restores_events_for_any_piece_sizes)
 {
-    Tests::checkProperty("write and parse in pieces", [](const std::vector<unsigned char>& cuts) {
+    Tests::checkProperty("write and parse in pieces", [](const std::vector<unsigned char>& pieceSizes) {
         std::vector<ServerSentEvent> events { { .id = "a:1", .name = {}, .data = "one" }, { .id = {}, .name = "n", .data = "two\nlines" } };
         auto text = writeServerSentEvent(events[0]) + ": comment\n\n" + writeServerSentEvent(events[1]);
         std::vector<ServerSentEvent> seen;
@@ -17,8 +17,8 @@
             return true;
         });
         std::size_t at = 0;
-        for (auto cut : cuts) {
-            auto size = std::min<std::size_t>(cut % 7, text.size() - at);
+        for (auto pieceSize : pieceSizes) {
+            auto size = std::min<std::size_t>(pieceSize % 7, text.size() - at);
             RC_ASSERT(parser.feed(text.substr(at, size)));
             at += size;
         }
@@ -27,7 +27,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(an_event_without_its_end_is_not_reported)
+BOOST_AUTO_TEST_CASE(an_unterminated_event_is_not_reported)
 {
     unsigned seen = 0;
     ServerSentEventParser parser([&](const ServerSentEvent&) { return ++seen > 0; });
--- a/tests/core/test_clock.cpp
+++ b/tests/core/test_clock.cpp
@@ -1,5 +1,6 @@
-// What holds a time goes on rightly when the instance was suspended: the kernel's timers and the usual steady clock stand still meanwhile.
-// A suspension is played by letting this process's clock leap ahead, which is all that it can see of one.
+// Tests that timers, deadlines, leases and backoffs take a suspension of the instance into account. Kernel timers and
+// std::chrono::steady_clock stop during a suspension. A suspension is simulated by advancing InstanceClock, which is all that a process
+// can observe of it.
 #include "core/net/async_connection.h"
 #include "modules/balance/endpoint_health.h"
 #include "modules/placement/lease.h"
@@ -11,12 +12,12 @@
 
 namespace {
 
-constexpr Milliseconds suspended { 5000 };
-// Of what should have ended meanwhile; far below the time that is left by a clock that stood still.
-constexpr Milliseconds late { 1500 };
+constexpr Milliseconds suspensionTime { 5000 };
+// Maximum delay after the resume for a timer that expired during the suspension; far below the 5 s that a stopped clock would still wait.
+constexpr Milliseconds maximumDelay { 1500 };
 
-// By a clock that does not leap.
-Milliseconds usualTime()
+// Time of CLOCK_MONOTONIC, which advanceForTest() does not affect.
+Milliseconds monotonicTime()
 {
     timespec time {};
     clock_gettime(CLOCK_MONOTONIC, &time);
@@ -31,72 +32,73 @@
 {
     auto before = steadyNow();
     auto suspendedBefore = InstanceClock::suspended();
-    InstanceClock::leapAhead(suspended);
-    BOOST_TEST((steadyNow() - before >= suspended));
-    auto grown = InstanceClock::suspended() - suspendedBefore;
-    BOOST_TEST((grown >= suspended - Milliseconds(100) && grown <= suspended + Milliseconds(100)));
+    InstanceClock::advanceForTest(suspensionTime);
+    BOOST_TEST((steadyNow() - before >= suspensionTime));
+    auto increase = InstanceClock::suspended() - suspendedBefore;
+    BOOST_TEST((increase >= suspensionTime - Milliseconds(100) && increase <= suspensionTime + Milliseconds(100)));
     for (int n = 0; n < 1000; ++n) {
         auto first = steadyNow();
         BOOST_REQUIRE((steadyNow() >= first));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_timer_that_should_have_fired_fires_soon_after)
+BOOST_AUTO_TEST_CASE(a_timer_that_expired_during_a_suspension_fires_soon_after)
 {
     asio::io_context context;
     SteadyTimer timer(context);
-    timer.expires_after(suspended);
-    auto began = usualTime();
-    Milliseconds fired {};
-    timer.async_wait([&](const asio::error_code&) { fired = usualTime() - began; });
-    asio::post(context, [] { InstanceClock::leapAhead(suspended); });
+    timer.expires_after(suspensionTime);
+    auto began = monotonicTime();
+    Milliseconds firedAfter {};
+    timer.async_wait([&](const asio::error_code&) { firedAfter = monotonicTime() - began; });
+    asio::post(context, [] { InstanceClock::advanceForTest(suspensionTime); });
     context.run();
-    BOOST_TEST(fired.count() < late.count());
+    BOOST_TEST(firedAfter.count() < maximumDelay.count());
 }
 
-BOOST_AUTO_TEST_CASE(a_read_whose_deadline_passed_meanwhile_times_out)
+BOOST_AUTO_TEST_CASE(a_read_whose_deadline_passed_during_a_suspension_times_out)
 {
     asio::io_context context;
     asio::ip::tcp::acceptor acceptor(context, { asio::ip::make_address("127.0.0.1"), 0 });
     asio::error_code result;
-    auto began = usualTime();
-    Milliseconds ended {};
+    auto began = monotonicTime();
+    Milliseconds endedAfter {};
     asio::co_spawn(
         context, [&]() -> asio::awaitable<void> {
             auto connection = std::make_shared<AsyncConnection>(context);
             Address address { .host = "127.0.0.1", .port = acceptor.local_endpoint().port() };
             co_await connection->connect(address, steadyNow() + Milliseconds(1000));
-            asio::post(context, [] { InstanceClock::leapAhead(suspended); });
-            result = co_await connection->read(steadyNow() + suspended);
-            ended = usualTime() - began;
+            asio::post(context, [] { InstanceClock::advanceForTest(suspensionTime); });
+            result = co_await connection->read(steadyNow() + suspensionTime);
+            endedAfter = monotonicTime() - began;
         },
         asio::detached);
     context.run();
     BOOST_TEST((result == asio::error::timed_out));
-    BOOST_TEST(ended.count() < late.count());
+    BOOST_TEST(endedAfter.count() < maximumDelay.count());
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_that_ran_out_meanwhile_is_not_held)
+BOOST_AUTO_TEST_CASE(a_lease_that_expired_during_a_suspension_is_not_held)
 {
     LeaseMachine lease("a", { .duration = Milliseconds(3000) });
     auto now = steadyNow();
     lease.observe(std::nullopt, 0, now, now);
-    auto wanted = lease.next(now);
-    BOOST_REQUIRE(wanted.has_value());
-    lease.written(*wanted, 1, now);
+    auto leaseUpdate = lease.next(now);
+    BOOST_REQUIRE(leaseUpdate.has_value());
+    lease.written(*leaseUpdate, 1, now);
     BOOST_TEST(lease.holds(steadyNow()));
-    InstanceClock::leapAhead(suspended);
+    InstanceClock::advanceForTest(suspensionTime);
     BOOST_TEST(!lease.holds(steadyNow()));
 }
 
-// Health, limits and all else that takes a time as a value goes by the same clock: rests end, and buckets fill.
-BOOST_AUTO_TEST_CASE(a_rest_ends_while_the_instance_is_suspended)
+// Endpoint health, limits and everything else that takes the current time as a parameter uses InstanceClock: backoffs end and token buckets
+// fill during a suspension.
+BOOST_AUTO_TEST_CASE(an_endpoint_backoff_ends_during_a_suspension)
 {
     EndpointHealth health;
     health.onUnreachable(steadyNow());
     health.onUnreachable(steadyNow());
     BOOST_TEST(!health.isUsable(steadyNow()));
-    InstanceClock::leapAhead(suspended);
+    InstanceClock::advanceForTest(suspensionTime);
     BOOST_TEST(health.isUsable(steadyNow()));
 }
 
--- a/tests/core/test_deflate.cpp
+++ b/tests/core/test_deflate.cpp
@@ -7,21 +7,21 @@
 
 BOOST_AUTO_TEST_SUITE(Deflate)
 
-BOOST_AUTO_TEST_CASE(what_is_compressed_comes_back)
+BOOST_AUTO_TEST_CASE(decompression_restores_compressed_text)
 {
-    constexpr std::size_t most = 1U << 20U;
+    constexpr std::size_t maximumBytes = 1U << 20U;
     Tests::checkProperty("any bytes", [](const std::string& bytes) {
-        RC_ASSERT(inflated(deflated(bytes), most).value() == bytes);
+        RC_ASSERT(inflated(deflated(bytes), maximumBytes).value() == bytes);
     });
     std::string list;
     for (int n = 0; n < 1000; ++n)
         list += R"({"service":"s","address":"10.0.0.)" + std::to_string(n) + R"(:80","state":"ready"},)";
     auto compressed = deflated(list);
     BOOST_TEST(compressed.size() * 8 < list.size());
-    BOOST_TEST(inflated(compressed, most).value() == list);
+    BOOST_TEST(inflated(compressed, maximumBytes).value() == list);
 }
 
-BOOST_AUTO_TEST_CASE(other_bytes_and_longer_texts_are_refused)
+BOOST_AUTO_TEST_CASE(invalid_and_too_long_text_is_rejected)
 {
     BOOST_TEST(!inflated("no such text", 1000));
     BOOST_TEST(!inflated("", 1000));
