--- a/tests/demo.cpp
+++ b/tests/demo.cpp
@@ -1,4 +1,5 @@
-// The whole path on one machine, as misc/demo.sh shows it: declares, calls, reclaims an instance in the middle of an answer.
+// Demo of the complete system on one machine, run by misc/demo.sh: applies a declaration, sends requests, and reclaims an instance while it
+// generates an answer.
 #include "tests/fakes/expected_answer.h"
 #include "tests/harness/cluster.h"
 #include <iostream>
@@ -22,7 +23,7 @@
         auto prompt = std::string("Confirm slot 14 for lot 2207, frozen scallops, dock 3");
         auto answer = client.chat({ .service = "planner", .prompt = prompt, .maximumTokens = 12 });
         std::cout << answer.text << std::endl;
-        checkWhole(answer, prompt, 12);
+        checkComplete(answer, prompt, 12);
 
         step("A call that may not be repeated: a pallet release");
         auto release = client.call("release", "/pallets/2207/release", R"({"pallet":2207})", false);
@@ -34,7 +35,7 @@
         reclaimWhileStreaming(client);
 
         step("Why: onyxnotch explain");
-        auto explained = runProgram("onyxnotch", { "explain", m_lastRequest, "--gateway", m_cluster.gateway(0).http.text() });
+        auto explained = runProgram("onyxnotch", { "explain", m_lastRequestId, "--gateway", m_cluster.gateway(0).http.text() });
         std::cout << explained.output;
         check(explained.exitCode == 0, "the request can be explained");
 
@@ -44,41 +45,41 @@
         check(status.exitCode == 0 && document.is_object(), "the status can be read");
         std::cout << document.value("members", Json::array()).size() << " members, " << document.value("endpoints", Json::array()).size() << " endpoints, plan of "
                   << document.value("plan", Json::object()).value("slots", Json::array()).size() << " slots, configuration version " << document.value("configuration_version", 0) << std::endl;
-        std::cout << (m_ok ? "\nEvery answer was whole." : "\nFAILED") << std::endl;
-        return m_ok ? 0 : 1;
+        std::cout << (m_succeeded ? "\nEvery answer was whole." : "\nFAILED") << std::endl;
+        return m_succeeded ? 0 : 1;
     }
 
 private:
     static void step(const std::string& text) { std::cout << "\n== " << text << std::endl; }
 
-    void check(bool holds, const std::string& what)
+    void check(bool succeeded, const std::string& what)
     {
-        std::cout << (holds ? "ok: " : "NOT OK: ") << what << std::endl;
-        m_ok = m_ok && holds;
+        std::cout << (succeeded ? "ok: " : "NOT OK: ") << what << std::endl;
+        m_succeeded = m_succeeded && succeeded;
     }
 
-    void checkWhole(const ClientAnswer& answer, const std::string& prompt, unsigned tokens)
+    void checkComplete(const ClientAnswer& answer, const std::string& prompt, unsigned tokens)
     {
-        bool whole = answer.outcome == RequestOutcome::Completed && answer.text == Fakes::expectedAnswer(Fakes::promptOf(prompt), tokens);
-        check(whole, "the answer is whole (" + toString(answer.outcome) + ", " + std::to_string(answer.text.size()) + " bytes)");
+        bool isComplete = answer.outcome == RequestOutcome::Completed && answer.text == Fakes::expectedAnswer(Fakes::promptOf(prompt), tokens);
+        check(isComplete, "the answer is whole (" + toString(answer.outcome) + ", " + std::to_string(answer.text.size()) + " bytes)");
     }
 
     void reclaimWhileStreaming(Client& client)
     {
         static constexpr unsigned tokens = 400;
         auto prompt = std::string("Rebuild the weekly corridor plan for Rosario");
-        unsigned seen = 0;
+        unsigned receivedTokens = 0;
         auto answer = client.chat({ .service = "planner", .prompt = prompt, .maximumTokens = tokens }, [&](const std::string& text) {
             std::cout << text << std::flush;
-            if (++seen == 20)
+            if (++receivedTokens == 20)
                 reclaimRunningEndpoint();
         });
         std::cout << std::endl;
-        m_lastRequest = answer.requestId;
-        checkWhole(answer, prompt, tokens);
+        m_lastRequestId = answer.requestId;
+        checkComplete(answer, prompt, tokens);
     }
 
-    // Reclaims the instance of the engine that generates at this moment.
+    // Reclaims the instance of the engine that is generating the answer.
     void reclaimRunningEndpoint()
     {
         auto list = m_cluster.get(m_cluster.cloud(), "/v1/instances");
@@ -94,8 +95,8 @@
     }
 
     Cluster m_cluster { { .engineArguments = { "--token-us", "20000" } } };
-    bool m_ok { true };
-    std::string m_lastRequest;
+    bool m_succeeded { true };
+    std::string m_lastRequestId;
 };
 
 } // namespace
--- a/tests/entry_slopes.cpp
+++ b/tests/entry_slopes.cpp
@@ -10,35 +10,35 @@
 namespace {
 
     constexpr Milliseconds tokenPeriod { 79 };
-    constexpr Milliseconds settleTime { 1000 };
-    constexpr Milliseconds measuredTime { 6000 };
+    constexpr Milliseconds warmUpTime { 1000 };
+    constexpr Milliseconds measurementTime { 6000 };
 
-    // Callers that hold streams open, all on one thread.
-    class StreamCallers {
+    // Clients that keep streams open, all on one thread.
+    class StreamClients {
     public:
-        StreamCallers(const Address& address, unsigned count)
+        StreamClients(const Address& address, unsigned count)
         {
             asio::ip::tcp::endpoint target(asio::ip::make_address(address.host), address.port);
             for (unsigned n = 0; n < count; ++n)
                 asio::co_spawn(
-                    m_context, [this, target, n] { return hold(target, n); }, asio::detached);
+                    m_context, [this, target, n] { return readStream(target, n); }, asio::detached);
             m_thread = std::thread([this] { m_context.run(); });
         }
 
-        ~StreamCallers()
+        ~StreamClients()
         {
             m_context.stop();
             m_thread.join();
         }
 
-        StreamCallers(const StreamCallers&) = delete;
-        StreamCallers& operator=(const StreamCallers&) = delete;
+        StreamClients(const StreamClients&) = delete;
+        StreamClients& operator=(const StreamClients&) = delete;
 
-        unsigned open() const { return m_open; }
+        unsigned openStreams() const { return m_open; }
         std::uint64_t events() const { return m_events; }
 
     private:
-        asio::awaitable<void> hold(asio::ip::tcp::endpoint target, unsigned n)
+        asio::awaitable<void> readStream(asio::ip::tcp::endpoint target, unsigned n)
         {
             asio::ip::tcp::socket socket(m_context);
             asio::error_code ec;
@@ -46,15 +46,15 @@
             auto text = "POST /stream/a HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: id-" + std::to_string(n) + "\r\nCredential: key-a\r\nContent-Length: 0\r\n\r\n";
             co_await asio::async_write(socket, asio::buffer(text), asio::redirect_error(asio::use_awaitable, ec));
             char buf[4096];
-            bool counted = false;
+            bool isCounted = false;
             while (!ec) {
                 auto size = co_await socket.async_read_some(asio::buffer(buf), asio::redirect_error(asio::use_awaitable, ec));
                 std::string_view bytes(buf, size);
                 for (auto at = bytes.find("id: "); at != std::string_view::npos; at = bytes.find("id: ", at + 1))
                     ++m_events;
-                bool began = !counted && m_events > 0 && bytes.find("id: ") != std::string_view::npos;
+                bool began = !isCounted && m_events > 0 && bytes.find("id: ") != std::string_view::npos;
                 m_open += began ? 1 : 0;
-                counted = counted || began;
+                isCounted = isCounted || began;
             }
         }
 
@@ -82,18 +82,18 @@
         auto& node = site.startNode("node-1", { { "limits", { { "descriptors", 8192 } } } });
         if (!EntrySite::waitReady(node))
             return;
-        StreamCallers callers(node.callers, streams);
-        if (!waitUntil([&] { return callers.open() >= streams; }, Milliseconds(30000)))
-            std::cerr << "only " << callers.open() << " streams are open" << std::endl;
-        std::this_thread::sleep_for(settleTime);
+        StreamClients callers(node.callers, streams);
+        if (!waitUntil([&] { return callers.openStreams() >= streams; }, Milliseconds(30000)))
+            std::cerr << "only " << callers.openStreams() << " streams are open" << std::endl;
+        std::this_thread::sleep_for(warmUpTime);
         auto cpuBefore = cpuSeconds(node.process->pid());
         auto eventsBefore = callers.events();
         auto began = steadyNow();
-        std::this_thread::sleep_for(measuredTime);
+        std::this_thread::sleep_for(measurementTime);
         auto seconds = std::chrono::duration<double>(steadyNow() - began).count();
-        cpu.add(callers.open(), (cpuSeconds(node.process->pid()) - cpuBefore) / seconds);
-        memory.add(callers.open(), residentMegabytes(node.process->pid()));
-        rate.add(callers.open(), static_cast<double>(callers.events() - eventsBefore) / seconds);
+        cpu.add(callers.openStreams(), (cpuSeconds(node.process->pid()) - cpuBefore) / seconds);
+        memory.add(callers.openStreams(), residentMegabytes(node.process->pid()));
+        rate.add(callers.openStreams(), static_cast<double>(callers.events() - eventsBefore) / seconds);
     }
     for (const auto* it : { &cpu, &memory, &rate })
         it->fit();
--- a/tests/entry_slopes.h
+++ b/tests/entry_slopes.h
@@ -1,4 +1,5 @@
-// What grows with the streams that are open through one onyxnotch-entry; a token each 79 ms.
+// Measures CPU time, memory and token throughput of one onyxnotch-entry process for different numbers of open streams, with one token
+// every 79 ms on each stream.
 #pragma once
 
 namespace Onyxnotch::Tests {
--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -1,5 +1,5 @@
-// Fuzz target for documents and messages: lists and changes of the store, pages of other nodes, and what nodes tell each other.
-// misc/fuzz.sh builds and runs it.
+// Fuzz target for decoders of documents and messages: object lists and change events of the store, HTTP documents of peers, and messages
+// between nodes. Built and run by misc/fuzz.sh.
 #include "core/deflate.h"
 #include "core/net/frame.h"
 #include "core/utf8.h"
@@ -16,23 +16,23 @@
 
 using namespace Onyxnotch;
 
-constexpr std::size_t mostInflated = 1U << 20U;
+constexpr std::size_t maximumInflatedBytes = 1U << 20U;
 
-void require(bool holds)
+void require(bool condition)
 {
-    if (!holds)
+    if (!condition)
         std::abort();
 }
 
-std::string soundObject(const std::string& name)
+std::string validObject(const std::string& name)
 {
     return R"({"metadata":{"name":")" + name + R"(","revision":3},"spec":{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v","slots":4,"state":"ready","coldLeftMs":0,"sequence":1}})";
 }
 
-// Whatever an entry is, as long as the list is a document, the sound ones beside it are read.
+// An arbitrary entry in a list must not affect the valid entries beside it, unless it makes the list invalid JSON.
 void checkList(const std::string& bytes)
 {
-    auto page = Platform::decodeListPage(R"({"modRev":9,"entries":[)" + soundObject("a") + "," + bytes + "," + soundObject("b") + "]}");
+    auto page = Platform::decodeListPage(R"({"modRev":9,"entries":[)" + validObject("a") + "," + bytes + "," + validObject("b") + "]}");
     if (!page)
         return;
     const auto& objects = page.value().objects.objects;
@@ -43,15 +43,15 @@
             require(endpoint.value().slots > 0 && endpoint.value().address.port != 0);
         (void)Platform::decodeRollout(it);
     }
-    EndpointHistory store;
-    std::map<std::string, StoreObject> named;
+    EndpointHistory source;
+    std::map<std::string, StoreObject> objectsByName;
     for (const auto& it : objects)
-        named[it.name] = it;
-    store.take(named, 9);
-    // Another node gets the same from its page.
-    EndpointHistory other;
-    require(other.apply(nlohmann::json::parse(store.pageSince(0).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace))).has_value());
-    require(other.values() == store.values());
+        objectsByName[it.name] = it;
+    source.take(objectsByName, 9);
+    // A node that applies the changes published by this one must end up with the same values.
+    EndpointHistory replica;
+    require(replica.apply(nlohmann::json::parse(source.pageSince(0).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace))).has_value());
+    require(replica.values() == source.values());
 }
 
 void checkDocuments(const std::string& bytes)
@@ -68,25 +68,26 @@
     (void)history.apply(document);
 }
 
-// Whatever a peer says, the book stays within its bounds.
+// Arbitrary data received from a peer must not make a SuspectBook exceed its size limits.
 void checkSuspects(const SuspectNews& news)
 {
-    constexpr std::size_t most = 16;
+    constexpr std::size_t maximumEntries = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    SuspectBook book({ .mostSuspects = most, .mostBlocked = most });
+    SuspectBook book({ .mostSuspects = maximumEntries, .mostBlocked = maximumEntries });
     book.onNews(news, now);
-    require(book.blockedRequests() <= most);
+    require(book.blockedRequests() <= maximumEntries);
     (void)book.news(now);
     book.forgetOld(now + std::chrono::hours(48));
 }
 
+// Arbitrary data received from a peer must not make EndpointLimits exceed its size limits, or delay credits by more than one hour.
 void checkLimits(const LimitNews& news)
 {
-    constexpr std::size_t most = 16;
+    constexpr std::size_t maximumEntries = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    EndpointLimits limits({ .words = { .most = most }, .wordsTold = most }, 1);
+    EndpointLimits limits({ .words = { .most = maximumEntries }, .wordsTold = maximumEntries }, 1);
     limits.onNews(news, 1000000, now);
-    require(limits.limited() <= most && limits.takeWordsTold().size() <= most);
+    require(limits.limited() <= maximumEntries && limits.takeWordsTold().size() <= maximumEntries);
     for (const auto& it : news.words) {
         (void)limits.take(it.endpoint, 1, now);
         require(limits.creditAt(it.endpoint, now) - now <= std::chrono::hours(1));
@@ -118,7 +119,7 @@
 
 } // namespace
 
-// The name is libFuzzer's.
+// libFuzzer requires this name.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
@@ -126,7 +127,7 @@
     checkList(bytes);
     checkDocuments(bytes);
     checkMessages(bytes);
-    auto text = inflated(bytes, mostInflated);
-    require(!text || text.value().size() <= mostInflated);
+    auto text = inflated(bytes, maximumInflatedBytes);
+    require(!text || text.value().size() <= maximumInflatedBytes);
     return 0;
 }
--- a/tests/fuzz/fuzz_wire_input.cpp
+++ b/tests/fuzz/fuzz_wire_input.cpp
@@ -1,4 +1,4 @@
-// Fuzz target for what comes from outside: heads and bodies of HTTP messages, and streams of events. misc/fuzz.sh builds and runs it.
+// Fuzz target for data received from clients and endpoints: HTTP messages and streams of server-sent events. Built and run by misc/fuzz.sh.
 #include "core/net/http_parser.h"
 #include "modules/forward/event_stream.h"
 #include <cstdlib>
@@ -14,47 +14,47 @@
     HttpParserState state;
     HttpHead head;
     std::string body;
-    std::string rest;
+    std::string unparsed;
 
     bool operator==(const Outcome&) const = default;
 };
 
-Outcome parse(HttpMessageKind kind, const std::string& bytes, std::size_t piece)
+Outcome parse(HttpMessageKind kind, const std::string& bytes, std::size_t pieceBytes)
 {
     HttpParser parser(kind, headLimit);
     std::string input;
-    for (std::size_t at = 0; at < bytes.size(); at += piece) {
-        input += bytes.substr(at, piece);
+    for (std::size_t at = 0; at < bytes.size(); at += pieceBytes) {
+        input += bytes.substr(at, pieceBytes);
         parser.feed(input);
     }
     return { parser.state(), parser.head(), parser.body(), input };
 }
 
-void require(bool holds)
+void require(bool condition)
 {
-    if (!holds)
+    if (!condition)
         std::abort();
 }
 
-// However the bytes are cut, a message is the same, and a sound one has one reading only.
+// The parsed message must not depend on how the input is split into pieces, and a complete message must be unambiguous.
 void checkMessage(HttpMessageKind kind, const std::string& bytes)
 {
-    auto whole = parse(kind, bytes, bytes.size() + 1);
-    auto pieces = parse(kind, bytes, 3);
-    bool sound = whole.state == HttpParserState::Complete;
-    require(sound == (pieces.state == HttpParserState::Complete));
-    if (!sound)
+    auto unsplit = parse(kind, bytes, bytes.size() + 1);
+    auto split = parse(kind, bytes, 3);
+    bool isComplete = unsplit.state == HttpParserState::Complete;
+    require(isComplete == (split.state == HttpParserState::Complete));
+    if (!isComplete)
         return;
-    require(whole == pieces);
-    require(!(whole.head.chunked && whole.head.contentLength));
-    if (whole.head.contentLength)
-        require(whole.body.size() == *whole.head.contentLength);
-    for (const auto& it : whole.head.fields)
+    require(unsplit == split);
+    require(!(unsplit.head.chunked && unsplit.head.contentLength));
+    if (unsplit.head.contentLength)
+        require(unsplit.body.size() == *unsplit.head.contentLength);
+    for (const auto& it : unsplit.head.fields)
         require(it.name.find_first_of(" \t\r\n:") == std::string::npos && it.value.find_first_of("\r\n") == std::string::npos);
-    require(whole.head.target.find_first_of(" \r\n") == std::string::npos);
+    require(unsplit.head.target.find_first_of(" \r\n") == std::string::npos);
 }
 
-// What is passed on is a beginning of the input, made of whole events.
+// The output must be a prefix of the input and consist of complete events.
 void checkEvents(const std::string& bytes)
 {
     EventStream events;
@@ -68,7 +68,7 @@
 
 } // namespace
 
-// The name is libFuzzer's.
+// libFuzzer requires this name.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
--- a/tests/measure.cpp
+++ b/tests/measure.cpp
@@ -1,5 +1,5 @@
-// Measures the decisions: each workload on each policy, in calm, through a zone's reclaim wave, and under three times the load.
-// Prints a JSON line for each. misc/measure.sh runs it.
+// Benchmark of the routing and reclaim policies: runs each workload with each policy, under normal conditions, while all instances of a
+// zone are reclaimed, and under three times the load. Prints one JSON line per run. Run by misc/measure.sh.
 #include "modules/load/load_runner.h"
 #include "tests/fakes/expected_answer.h"
 #include "tests/harness/cluster.h"
@@ -35,7 +35,7 @@
     return { { .name = "onyxnotch", .gatewaySettings = Json::object() }, withRouting("random"), withRouting("least-reported-load"), withRouting("two-choices") };
 }
 
-// Counters that end with the processes that have them.
+// Token counters read from the processes. They are lost when a process ends.
 struct Counters {
     double recomputed { 0 };
     double prefilled { 0 };
@@ -82,48 +82,48 @@
         return options;
     }
 
-    // A third of the way through, everything in one zone gets notice, and then ends.
+    // After a third of the run, all instances of one zone receive a reclaim notice and are killed at its deadline.
     void reclaimWave()
     {
         std::this_thread::sleep_for(m_length / 3);
         auto& gateway = m_cluster.gateway(0);
         m_cluster.post(m_cluster.cloud(), "/control/reclaim", { { "instances", Json::array({ gateway.instance }) }, { "zone", gateway.zone }, { "time_left_ms", noticeTime.count() } });
         auto deadline = steadyNow() + noticeTime;
-        // The counters of what ends are read while it still answers.
+        // Read the counters of the gateway repeatedly until it is killed.
         waitUntil([&] {
-            auto last = countersOf(gateway);
-            if (last.recomputed > 0 || last.prefilled > 0)
-                m_ended.recomputed = std::max(m_ended.recomputed, last.recomputed);
+            auto current = gatewayCounters(gateway);
+            if (current.recomputed > 0 || current.prefilled > 0)
+                m_killedCounters.recomputed = std::max(m_killedCounters.recomputed, current.recomputed);
             return steadyNow() >= deadline;
         },
             noticeTime);
         for (auto& it : m_cluster.engines()) {
             if (it.zone != gateway.zone)
                 continue;
-            m_ended.prefilled += m_cluster.get(it.address, "/control").value("prefilled_tokens", 0.0);
+            m_killedCounters.prefilled += m_cluster.get(it.address, "/control").value("prefilled_tokens", 0.0);
             it.process->kill();
         }
         gateway.process->kill();
         m_killedZone = gateway.zone;
     }
 
-    Counters countersOf(const GatewayProcess& gateway) const { return { .recomputed = m_cluster.metric(gateway, "onyxnotch_recomputed_tokens_total") }; }
+    Counters gatewayCounters(const GatewayProcess& gateway) const { return { .recomputed = m_cluster.metric(gateway, "onyxnotch_recomputed_tokens_total") }; }
 
     void report(const std::string& phase, const LoadSummary& summary)
     {
-        auto counters = m_ended;
+        auto counters = m_killedCounters;
         for (const auto& it : m_cluster.gateways()) {
             if (it->zone != m_killedZone)
-                counters.recomputed += countersOf(*it).recomputed;
+                counters.recomputed += gatewayCounters(*it).recomputed;
         }
         for (auto& it : m_cluster.engines()) {
             if (it.zone != m_killedZone)
                 counters.prefilled += m_cluster.get(it.address, "/control").value("prefilled_tokens", 0.0);
         }
         auto runs = m_cluster.serviceRuns();
-        auto twice = std::count_if(runs.begin(), runs.end(), [](const auto& it) { return it.second > 1; });
+        auto executedTwice = std::count_if(runs.begin(), runs.end(), [](const auto& it) { return it.second > 1; });
         auto price = pricePerHour * enginesPerZone * 3 * summary.seconds / secondsPerHour;
-        Json line {
+        Json resultLine {
             { "workload", m_workload.name },
             { "phase", phase },
             { "policy", m_policy.name },
@@ -140,29 +140,30 @@
             { "unknown", summary.unknown },
             { "dropped", summary.dropped },
             { "lost", summary.lost },
-            { "twice", twice },
+            { "twice", executedTwice },
         };
-        std::cout << line.dump() << std::endl;
+        std::cout << resultLine.dump() << std::endl;
     }
 
     Workload m_workload;
     Policy m_policy;
     Milliseconds m_length;
     Cluster m_cluster;
-    Counters m_ended;
+    Counters m_killedCounters;
     std::string m_killedZone;
 };
 
 } // namespace
 
-// Arguments: seconds of each trace, then words that choose phases, policies and workloads; none chooses all.
+// Arguments: the duration of each trace in seconds, then names of phases, policies and workloads to run. If no phase, policy or workload
+// is named, all of that group are run.
 int main(int argc, char** argv)
 {
     auto seconds = argc > 1 ? std::strtol(argv[1], nullptr, 10) : 12;
-    std::vector<std::string> words(argv + std::min(argc, 2), argv + argc);
-    auto chosen = [&](const std::vector<std::string>& group, const std::string& word) {
-        bool groupNamed = std::any_of(words.begin(), words.end(), [&](const auto& it) { return std::find(group.begin(), group.end(), it) != group.end(); });
-        return !groupNamed || std::find(words.begin(), words.end(), word) != words.end();
+    std::vector<std::string> selection(argv + std::min(argc, 2), argv + argc);
+    auto isSelected = [&](const std::vector<std::string>& group, const std::string& argument) {
+        bool groupIsRestricted = std::any_of(selection.begin(), selection.end(), [&](const auto& it) { return std::find(group.begin(), group.end(), it) != group.end(); });
+        return !groupIsRestricted || std::find(selection.begin(), selection.end(), argument) != selection.end();
     };
     const std::vector<std::string> workloads { "cold-yards", "despacho-litoral" };
     const std::vector<std::string> phases { "calm", "wave", "overload" };
@@ -173,7 +174,7 @@
     for (const auto& workload : workloads) {
         for (const auto& phase : phases) {
             for (const auto& policy : policies()) {
-                if (!chosen(workloads, workload) || !chosen(phases, phase) || !chosen(names, policy.name))
+                if (!isSelected(workloads, workload) || !isSelected(phases, phase) || !isSelected(names, policy.name))
                     continue;
                 Measurement measurement(workloadNamed(workload).value(), policy, Milliseconds(seconds * 1000));
                 ok = measurement.run(phase, phase == "overload" ? 3 : 1) && ok;
--- a/tests/property.h
+++ b/tests/property.h
@@ -1,5 +1,5 @@
-// Runs a rapidcheck property within Boost.Test. The seed is fixed, so that CI reaches the same verdict every time;
-// RC_PARAMS="seed=..." in the environment chooses another one.
+// Runs rapidcheck properties within Boost.Test. The seed is fixed, so that results are reproducible in CI; the environment variable
+// RC_PARAMS="seed=..." overrides it.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,7 @@
 
 namespace Onyxnotch::Tests {
 
-inline void useFixedSeed()
+inline void setDefaultParameters()
 {
     setenv("RC_PARAMS", "seed=20261202 max_success=2000", 0);
 }
@@ -16,7 +16,7 @@
 template <typename Property>
 void checkProperty(const char* description, Property property)
 {
-    useFixedSeed();
+    setDefaultParameters();
     BOOST_TEST_MESSAGE("rapidcheck parameters: " << std::getenv("RC_PARAMS"));
     BOOST_CHECK(rc::check(description, property));
 }
--- a/tests/slopes.cpp
+++ b/tests/slopes.cpp
@@ -1,5 +1,5 @@
-// Measures how the costs of a node grow, for docs/CAPACITY.md: prints a JSON line for each point, and the fitted slope of each series
-// with its residual. misc/slopes.sh runs it.
+// Measures how the resource use of a node scales, for docs/CAPACITY.md. Prints one JSON line per data point, and the fitted slope of each
+// series with its residual. Run by misc/slopes.sh.
 #include "core/digest.h"
 #include "core/net/http_client.h"
 #include "tests/entry_slopes.h"
@@ -15,14 +15,14 @@
 using namespace Onyxnotch;
 using namespace Onyxnotch::Tests;
 
-// As in operation: the harness's settings are faster.
-Json ordinaryMembership() { return { { "probePeriodMs", 1000 }, { "probeTimeoutMs", 400 }, { "suspicionMs", 3000 } }; }
+// Production settings; the defaults of the test harness use shorter periods.
+Json productionMembership() { return { { "probePeriodMs", 1000 }, { "probeTimeoutMs", 400 }, { "suspicionMs", 3000 } }; }
 
-ClusterOptions nodesOf(unsigned perZone)
+ClusterOptions clusterOptions(unsigned perZone)
 {
     ClusterOptions options { .gatewaysPerZone = perZone, .controllers = 1 };
-    options.gatewaySettings = { { "httpThreads", 8 }, { "membership", ordinaryMembership() } };
-    options.controllerSettings = { { "membership", ordinaryMembership() } };
+    options.gatewaySettings = { { "httpThreads", 8 }, { "membership", productionMembership() } };
+    options.controllerSettings = { { "membership", productionMembership() } };
     return options;
 }
 
@@ -42,32 +42,32 @@
     return counts.value("read", 0L) + counts.value("write", 0L);
 }
 
-// What grows with the number of nodes.
+// Measures resource use and propagation times for different numbers of nodes.
 void measureNodes()
 {
     Series bytes("gossip bytes sent a second by a member in calm, against members", "bytes/s");
-    Series busyBytes("gossip bytes sent a second by a member while all are new, against members", "bytes/s");
+    Series joinBytes("gossip bytes sent a second by a member while all are new, against members", "bytes/s");
     Series messages("gossip messages sent a second by a node, against nodes", "1/s");
     Series cpu("processor time of an idle gateway, against nodes", "part of a core");
     Series memory("resident memory of an idle gateway, against nodes", "MB");
     Series calls("object API calls a second of all nodes in calm, against nodes", "1/s");
     Series outage("object API calls a second of all nodes in an outage, against nodes", "1/s");
-    Series back("object API calls in the second after an outage, against nodes", "1/s");
-    Series change("time until a change is in force everywhere, against nodes", "ms");
-    Series mark("time until a leaving mark is everywhere, against nodes", "ms");
+    Series recovery("object API calls in the second after an outage, against nodes", "1/s");
+    Series configurationDelay("time until a change is in force everywhere, against nodes", "ms");
+    Series drainMarkDelay("time until a leaving mark is everywhere, against nodes", "ms");
     static constexpr Milliseconds window { 5000 };
     for (unsigned perZone : { 3U, 9U, 20U }) {
-        Cluster cluster(nodesOf(perZone));
+        Cluster cluster(clusterOptions(perZone));
         auto& gateways = cluster.gateways();
         double nodes = static_cast<double>(gateways.size()) + 1;
         if (!cluster.deploy(3))
             return;
         auto seconds = std::chrono::duration<double>(window).count();
-        // All nodes have just started: as much news as there can be.
+        // All nodes have just joined, which causes the maximum amount of gossip.
         auto bytesBefore = sumMetric(cluster, gateways, "onyxnotch_gossip_bytes_sent_total");
         sleepFor(window);
-        busyBytes.add(nodes, (sumMetric(cluster, gateways, "onyxnotch_gossip_bytes_sent_total") - bytesBefore) / seconds / static_cast<double>(gateways.size()));
-        sleepFor(Milliseconds(700) * static_cast<int>(gateways.size())); // The news has gone round.
+        joinBytes.add(nodes, (sumMetric(cluster, gateways, "onyxnotch_gossip_bytes_sent_total") - bytesBefore) / seconds / static_cast<double>(gateways.size()));
+        sleepFor(Milliseconds(700) * static_cast<int>(gateways.size())); // Wait until the membership updates have reached all nodes.
         bytesBefore = sumMetric(cluster, gateways, "onyxnotch_gossip_bytes_sent_total");
         auto messagesBefore = sumMetric(cluster, gateways, "onyxnotch_gossip_messages_sent_total");
         auto callsBefore = objectCalls(cluster);
@@ -84,20 +84,20 @@
         Json drain { { "kind", "Drain" }, { "name", "d" }, { "spec", { { "instance", "i-x" } } } };
         cluster.apply({ { "objects", Json::array({ drain }) } });
         auto began = steadyNow();
-        auto everywhere = [&](const std::function<bool(const GatewayProcess&)>& holds) { return std::all_of(gateways.begin(), gateways.end(), [&](const auto& it) { return holds(*it); }); };
-        waitUntil([&] { return everywhere([&](const GatewayProcess& it) { return cluster.get(it.http, "/readyz").value("configuration_version", 0) > version; }); });
-        change.add(nodes, std::chrono::duration<double, std::milli>(steadyNow() - began).count());
+        auto holdsEverywhere = [&](const std::function<bool(const GatewayProcess&)>& condition) { return std::all_of(gateways.begin(), gateways.end(), [&](const auto& it) { return condition(*it); }); };
+        waitUntil([&] { return holdsEverywhere([&](const GatewayProcess& it) { return cluster.get(it.http, "/readyz").value("configuration_version", 0) > version; }); });
+        configurationDelay.add(nodes, std::chrono::duration<double, std::milli>(steadyNow() - began).count());
 
-        // The logs say when each node knew: asking them all would take longer than it does.
+        // Use the timestamps in the logs: polling all nodes would take longer than the propagation itself.
         auto endpoint = cluster.get(cluster.cloud(), "/v1/instances")["instances"][0]["id"].get<std::string>();
-        auto since = wallMilliseconds();
+        auto reclaimedAt = wallMilliseconds();
         cluster.post(cluster.cloud(), "/control/reclaim", { { "instances", Json::array({ endpoint }) }, { "time_left_ms", 60000 } });
         double slowest = 0;
         for (const auto& it : gateways) {
             auto line = it->process->waitLine([&](const std::string& text) { return text.find("\"endpoint_leaving\"") != std::string::npos; }, Milliseconds(20000));
-            slowest = std::max(slowest, line ? static_cast<double>(Json::parse(*line)["time_ms"].get<std::uint64_t>() - since) : 20000.0);
+            slowest = std::max(slowest, line ? static_cast<double>(Json::parse(*line)["time_ms"].get<std::uint64_t>() - reclaimedAt) : 20000.0);
         }
-        mark.add(nodes, slowest);
+        drainMarkDelay.add(nodes, slowest);
 
         cluster.post(cluster.objects(), "/control", { { "mode", "down" } });
         sleepFor(Milliseconds(3000));
@@ -107,13 +107,13 @@
         callsBefore = objectCalls(cluster);
         cluster.post(cluster.objects(), "/control", Json::object());
         sleepFor(Milliseconds(1000));
-        back.add(nodes, static_cast<double>(objectCalls(cluster) - callsBefore));
+        recovery.add(nodes, static_cast<double>(objectCalls(cluster) - callsBefore));
     }
-    for (const auto* it : { &bytes, &busyBytes, &messages, &cpu, &memory, &calls, &outage, &back, &change, &mark })
+    for (const auto* it : { &bytes, &joinBytes, &messages, &cpu, &memory, &calls, &outage, &recovery, &configurationDelay, &drainMarkDelay })
         it->fit();
 }
 
-// What grows with the streams that are open through one gateway; a token each 79 ms.
+// Measures resource use of one gateway for different numbers of open streams, with one token every 79 ms on each stream.
 void measureStreams()
 {
     Series cpu("processor time of a gateway, against open streams", "part of a core");
@@ -132,10 +132,10 @@
         for (unsigned n = 0; n < streams; ++n) {
             callers.emplace_back([&, n] {
                 Client client({ .addresses = { gateway.http }, .key = Cluster::teamKey });
-                bool counted = false;
+                bool isCounted = false;
                 client.chat({ .service = "planner", .prompt = "stream " + std::to_string(n), .maximumTokens = 300 }, [&](const std::string& text) {
-                    open += counted ? 0 : 1;
-                    counted = true;
+                    open += isCounted ? 0 : 1;
+                    isCounted = true;
                     received += static_cast<std::uint64_t>(std::count(text.begin(), text.end(), ' '));
                 });
             });
@@ -150,7 +150,7 @@
         cpu.add(open, (cpuSeconds(gateway.process->pid()) - cpuBefore) / seconds);
         memory.add(open, residentMegabytes(gateway.process->pid()));
         rate.add(open, static_cast<double>(received - receivedBefore) / seconds);
-        // The engine ends every stream at once, so that the callers do.
+        // Kill the processes, so that all streams end and the client threads return.
         gateway.process->kill();
         for (auto& it : cluster.engines())
             it.process->kill();
@@ -161,7 +161,7 @@
         it->fit();
 }
 
-// What grows with what is declared and what is there.
+// Measures memory use of one gateway for different numbers of declared objects, teams and endpoints.
 void measureObjects()
 {
     Series objects("resident memory of a gateway, against declared objects", "MB");
@@ -214,15 +214,15 @@
 
 int main(int argc, char** argv)
 {
-    std::vector<std::string> words(argv + 1, argv + argc);
-    auto chosen = [&](const std::string& word) { return words.empty() || std::find(words.begin(), words.end(), word) != words.end(); };
-    if (chosen("nodes"))
+    std::vector<std::string> selection(argv + 1, argv + argc);
+    auto isSelected = [&](const std::string& argument) { return selection.empty() || std::find(selection.begin(), selection.end(), argument) != selection.end(); };
+    if (isSelected("nodes"))
         measureNodes();
-    if (chosen("streams"))
+    if (isSelected("streams"))
         measureStreams();
-    if (chosen("objects"))
+    if (isSelected("objects"))
         measureObjects();
-    if (chosen("entry-streams"))
+    if (isSelected("entry-streams"))
         measureEntryStreams();
     return 0;
 }
