--- a/tests/golden/test_session.cpp
+++ b/tests/golden/test_session.cpp
@@ -1,5 +1,5 @@
-// Whole sessions against golden files: what an operator and a caller see, with the parts that differ from run to run made alike.
-// ONYXNOTCH_UPDATE_GOLDEN=1 writes the files anew.
+// Compares transcripts of complete sessions, as seen by an operator and a client, with golden files. Parts that differ between runs are
+// replaced by placeholders. ONYXNOTCH_UPDATE_GOLDEN=1 rewrites the golden files.
 #include "core/net/http_client.h"
 #include "tests/promises/promise_fixture.h"
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Request ids, attempt ids, addresses, times and numbers of tries differ between runs.
+// Replaces request ids, attempt ids, addresses, times, prices, temporary paths and offsets, which differ between runs.
 std::string normalized(std::string text)
 {
     static const std::vector<std::pair<std::regex, std::string>> rules {
@@ -28,7 +28,7 @@
     return text;
 }
 
-// A stream's events, one a line; pieces of text are joined, since their borders depend on time.
+// Lists the events of a stream, one per line. Consecutive text events are joined, since their boundaries depend on timing.
 std::string streamTranscript(const std::string& body)
 {
     std::istringstream stream(body);
@@ -60,19 +60,19 @@
 
 class Transcript {
 public:
-    void add(const std::string& what, const std::string& shown) { m_text += "## " + what + "\n" + shown + (shown.empty() || shown.back() == '\n' ? "" : "\n") + "\n"; }
+    void add(const std::string& title, const std::string& sectionText) { m_text += "## " + title + "\n" + sectionText + (sectionText.empty() || sectionText.back() == '\n' ? "" : "\n") + "\n"; }
 
     void compare(const std::string& name) const
     {
         auto path = std::string(ONYXNOTCH_GOLDEN_FOLDER) + "/" + name;
-        auto mine = normalized(m_text);
+        auto actual = normalized(m_text);
         if (std::getenv("ONYXNOTCH_UPDATE_GOLDEN"))
-            std::ofstream(path) << mine;
+            std::ofstream(path) << actual;
         std::ifstream file(path);
         std::ostringstream expected;
         expected << file.rdbuf();
-        BOOST_CHECK_MESSAGE(mine == expected.str(), name << " differs; this run gave:\n"
-                                                         << mine);
+        BOOST_CHECK_MESSAGE(actual == expected.str(), name << " differs; this run gave:\n"
+                                                           << actual);
     }
 
 private:
@@ -104,22 +104,22 @@
     Cluster cluster({ .zones = { "kushiro-hall" }, .controllers = 1, .engineArguments = { "--token-us", "2000" } });
     Transcript transcript;
     auto& gateway = cluster.gateway(0);
-    auto operate = [&](const std::vector<std::string>& arguments) {
+    auto runCommand = [&](const std::vector<std::string>& arguments) {
         auto result = runProgram("onyxnotch", arguments);
         transcript.add("onyxnotch " + arguments[0], "exit code " + std::to_string(result.exitCode) + "\n" + result.output);
     };
-    auto call = [&](const std::string& what, const HttpCall& request, const std::vector<std::string>& headers = {}) {
+    auto call = [&](const std::string& title, const HttpCall& request, const std::vector<std::string>& headers = {}) {
         auto reply = sendHttp(gateway.http, request);
         BOOST_REQUIRE(reply);
-        transcript.add(what, show(reply.value(), headers));
+        transcript.add(title, show(reply.value(), headers));
         return reply.value();
     };
     auto bad = cluster.declaration(1);
     bad["objects"][3]["spec"]["replicas"] = 1;
-    operate({ "apply", cluster.writeFile("bad.json", bad.dump(2)), "--objects", cluster.objects().text() });
-    operate({ "check", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
-    operate({ "apply", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
-    operate({ "get", "Service", "--objects", cluster.objects().text() });
+    runCommand({ "apply", cluster.writeFile("bad.json", bad.dump(2)), "--objects", cluster.objects().text() });
+    runCommand({ "check", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
+    runCommand({ "apply", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
+    runCommand({ "get", "Service", "--objects", cluster.objects().text() });
     BOOST_REQUIRE(cluster.waitEndpoints(1));
     call("GET /v1/addresses with an unknown key", { .path = "/v1/addresses", .headers = { { "Authorization", "Bearer nobody" } } }, { "onyxnotch-outcome" });
     auto addresses = call("GET /v1/addresses?tickets=1", { .path = "/v1/addresses?tickets=1", .headers = { { "Authorization", authorization() } } });
@@ -136,11 +136,12 @@
     auto first = cluster.serviceRuns()[ticket];
     auto again = call("the same again", release, { "onyxnotch-outcome", "onyxnotch-request-id" });
     BOOST_CHECK_EQUAL(cluster.serviceRuns()[ticket], first);
-    operate({ "explain", reply.value().header("onyxnotch-request-id"), "--gateway", gateway.http.text() });
+    runCommand({ "explain", reply.value().header("onyxnotch-request-id"), "--gateway", gateway.http.text() });
     transcript.compare("session.golden");
 }
 
-// The order of events is the point: accepted and routed by one gateway, taken over by another, ended there without a new attempt.
+// Checks the order of events: the request is accepted and routed by one gateway, taken over by another one, and completed there without a
+// new attempt.
 BOOST_AUTO_TEST_CASE(a_gateway_is_reclaimed_in_the_middle_of_an_answer)
 {
     Cluster cluster({ .zones = { "kushiro-hall", "nemuro-hall" }, .controllers = 1, .engineArguments = { "--token-us", "10000" } });
