--- a/tests/fakes/cloud_api.cpp
+++ b/tests/fakes/cloud_api.cpp
@@ -1,5 +1,5 @@
-// Stand-in of the cloud API: offers with prices, orders with client tokens, refused starts, reclaim notices. Its machines are
-// processes that are running already and are named to it.
+// Fake cloud API: offers with prices, idempotent instance orders with client tokens, refused starts, and reclaim notices. Its instances are
+// processes that are already running and whose addresses are registered with an offer.
 #include "tests/fakes/fake_program.h"
 #include <condition_variable>
 #include <map>
@@ -21,16 +21,17 @@
     void addRoutes(HttpServer& server)
     {
         server.route("GET", "/v1/offers", [this](const HttpRequest&) { return offers(); });
-        server.route("POST", "/v1/instances", [this](const HttpRequest& it) { return start(bodyOf(it)); });
+        server.route("POST", "/v1/instances", [this](const HttpRequest& it) { return start(jsonBody(it)); });
         server.route("GET", "/v1/instances", [this](const HttpRequest&) { return instances(); });
         server.route("DELETE", "/v1/instances/(.+)", [this](const HttpRequest& it) { return terminate(it.captures[0]); });
         server.route("GET", "/v1/notices", [this](const HttpRequest& it) { return notices(it); });
-        // {"zone","class","market","price_per_hour","addresses":[...]}: an offer and the machines that can fill it.
-        server.route("POST", "/control/offer", [this](const HttpRequest& it) { return addOffer(bodyOf(it)); });
-        // {"zone","market","refuse":true}
-        server.route("POST", "/control/capacity", [this](const HttpRequest& it) { return setCapacity(bodyOf(it)); });
-        // {"instances":[...],"zone":"...","time_left_ms":N}: a notice for each, and for every machine of the zone.
-        server.route("POST", "/control/reclaim", [this](const HttpRequest& it) { return reclaim(bodyOf(it)); });
+        // {"zone","class","market","price_per_hour","addresses":[...]}: adds an offer and the addresses of instances that can fill it.
+        server.route("POST", "/control/offer", [this](const HttpRequest& it) { return addOffer(jsonBody(it)); });
+        // {"zone","market","refuse":true}: refuses to start instances of this market in the zone.
+        server.route("POST", "/control/capacity", [this](const HttpRequest& it) { return setCapacity(jsonBody(it)); });
+        // {"instances":[...],"zone":"...","time_left_ms":N}: publishes a reclaim notice for each listed instance, and for all reclaimable
+        // instances of the zone.
+        server.route("POST", "/control/reclaim", [this](const HttpRequest& it) { return reclaim(jsonBody(it)); });
         server.route("GET", "/control", [this](const HttpRequest&) { return counts(); });
     }
 
@@ -61,11 +62,11 @@
         return reply(200, offer);
     }
 
-    HttpResponse setCapacity(const Json& wish)
+    HttpResponse setCapacity(const Json& body)
     {
         std::lock_guard lock(m_mutex);
-        m_refused[wish.value("zone", "") + "|" + wish.value("market", "")] = wish.value("refuse", true);
-        return reply(200, wish);
+        m_refused[body.value("zone", "") + "|" + body.value("market", "")] = body.value("refuse", true);
+        return reply(200, body);
     }
 
     HttpResponse start(const Json& order)
@@ -113,35 +114,35 @@
         return reply(200, Json::object());
     }
 
-    HttpResponse reclaim(const Json& wish)
+    HttpResponse reclaim(const Json& body)
     {
         std::lock_guard lock(m_mutex);
-        auto deadline = steadyNow() + Milliseconds(wish.value("time_left_ms", 2000));
+        auto deadline = steadyNow() + Milliseconds(body.value("time_left_ms", 2000));
         auto notify = [&](const std::string& id) { m_notices.push_back({ .instance = id, .deadline = deadline }); };
-        for (const auto& it : wish.value("instances", Json::array())) {
+        for (const auto& it : body.value("instances", Json::array())) {
             notify(it.get<std::string>());
             if (m_instances.contains(it.get<std::string>()))
                 m_instances[it.get<std::string>()]["state"] = "leaving";
         }
         for (auto& [id, it] : m_instances) {
-            if (it["zone"] != wish.value("zone", "") || it["market"] != "reclaimable")
+            if (it["zone"] != body.value("zone", "") || it["market"] != "reclaimable")
                 continue;
             notify(id);
             it["state"] = "leaving";
         }
-        m_noticed.notify_all();
+        m_noticeAdded.notify_all();
         return reply(200, { { "notices", m_notices.size() } });
     }
 
     HttpResponse notices(const HttpRequest& request)
     {
-        auto after = static_cast<std::size_t>(numberOf(request, "after", 0));
+        auto after = static_cast<std::size_t>(queryNumber(request, "after", 0));
         std::unique_lock lock(m_mutex);
-        m_noticed.wait_for(lock, Milliseconds(numberOf(request, "wait_ms", 0)), [&] { return m_notices.size() > after; });
+        m_noticeAdded.wait_for(lock, Milliseconds(queryNumber(request, "wait_ms", 0)), [&] { return m_notices.size() > after; });
         Json list = Json::array();
         for (auto n = after; n < m_notices.size(); ++n) {
-            auto left = std::max<std::int64_t>(0, toMilliseconds(m_notices[n].deadline - steadyNow()).count());
-            list.push_back({ { "sequence", n + 1 }, { "instance", m_notices[n].instance }, { "time_left_ms", left } });
+            auto remaining = std::max<std::int64_t>(0, toMilliseconds(m_notices[n].deadline - steadyNow()).count());
+            list.push_back({ { "sequence", n + 1 }, { "instance", m_notices[n].instance }, { "time_left_ms", remaining } });
         }
         return reply(200, { { "notices", list } });
     }
@@ -153,7 +154,7 @@
     }
 
     std::mutex m_mutex;
-    std::condition_variable m_noticed;
+    std::condition_variable m_noticeAdded;
     std::map<std::string, Json> m_offers;
     std::map<std::string, std::vector<std::string>> m_free;
     std::map<std::string, bool> m_refused;
--- a/tests/fakes/expected_answer.h
+++ b/tests/fakes/expected_answer.h
@@ -1,5 +1,5 @@
-// The text that the stand-in of a model engine generates: it follows from the prompt alone, so that tests can tell a whole answer
-// from a broken one and one caller's answer from another's.
+// The text that the fake model engine generates. It depends only on the prompt, so that tests can detect incomplete or corrupted answers
+// and answers to the prompt of another client.
 #pragma once
 
 #include "core/digest.h"
@@ -9,8 +9,8 @@
 
 inline std::string answerToken(const std::string& prompt, unsigned index)
 {
-    static constexpr unsigned words = 100000;
-    return "w" + std::to_string(fastHash(prompt) % words) + "." + std::to_string(index) + " ";
+    static constexpr unsigned hashRange = 100000;
+    return "w" + std::to_string(fastHash(prompt) % hashRange) + "." + std::to_string(index) + " ";
 }
 
 inline std::string expectedAnswer(const std::string& prompt, unsigned tokens)
@@ -21,7 +21,7 @@
     return text;
 }
 
-// The prompt that a gateway makes of one user message.
+// The prompt that a gateway creates from a chat with a single user message.
 inline std::string promptOf(const std::string& message) { return "user: " + message + "\n"; }
 
 } // namespace Onyxnotch::Fakes
--- a/tests/fakes/fake_program.h
+++ b/tests/fakes/fake_program.h
@@ -1,4 +1,4 @@
-// What the stand-ins of the platform have in common: a port, a line that names it, a stop signal.
+// Shared code of the fake programs: JSON requests and responses, printing the listening address, and serving until a stop signal.
 #pragma once
 
 #include "core/command_line.h"
@@ -14,20 +14,21 @@
 
 inline HttpResponse reply(int status, const Json& body) { return { .status = status, .body = body.dump() }; }
 
-// The parsed body; an empty object where it is none.
-inline Json bodyOf(const HttpRequest& request)
+// The parsed JSON body of a request; an empty object if the body is not a JSON object.
+inline Json jsonBody(const HttpRequest& request)
 {
     auto document = Json::parse(request.body, nullptr, false);
     return document.is_object() ? document : Json::object();
 }
 
-inline long numberOf(const HttpRequest& request, const std::string& name, long otherwise)
+// The value of a query parameter as a number; `otherwise` if it is missing.
+inline long queryNumber(const HttpRequest& request, const std::string& name, long otherwise)
 {
     auto text = request.queryValue(name);
     return text.empty() ? otherwise : std::strtol(text.c_str(), nullptr, 10);
 }
 
-// Serves until a stop signal, after writing {"listening":"HOST:PORT"} to standard output.
+// Starts the server, writes {"listening":"HOST:PORT"} to standard output, and serves until a stop signal.
 inline int serve(HttpServer& server, StopSignal& signal)
 {
     auto started = server.start();
@@ -37,7 +38,7 @@
     }
     std::cout << Json { { "listening", server.address().text() } }.dump() << std::endl;
     signal.wait();
-    // Connections may be held open by streams that never end: a stand-in just goes.
+    // Exit without waiting for connections, since some streams never end.
     std::_Exit(static_cast<int>(ExitCode::Success));
 }
 
--- a/tests/fakes/fault_proxy.cpp
+++ b/tests/fakes/fault_proxy.cpp
@@ -1,4 +1,4 @@
-// A fault-injecting proxy for TCP and UDP. Each forwarded port has a mode that can be changed while it is in use.
+// Fault-injecting proxy for TCP and UDP. The faults of each forwarded port can be changed while it is in use.
 #include "core/steady_timer.h"
 #include "tests/fakes/fake_program.h"
 #include <array>
@@ -20,22 +20,22 @@
   --port PORT  Port for control [default: 0].
 )";
 
-// How one forwarded port treats what passes.
+// Faults of one forwarded port. "Up" is from client to target, "down" is from target to client.
 struct Fault {
-    bool refuse { false }; // New connections are closed at once.
-    bool dropUp { false }; // Bytes towards the target vanish.
-    bool dropDown { false }; // Bytes back vanish.
-    long cutUpAfter { -1 }; // The connection is reset once so many bytes have gone to the target; 0: before the first.
-    long cutDownAfter { -1 };
-    long delay { 0 }; // Milliseconds that each piece is held.
+    bool refuse { false }; // New connections are closed immediately.
+    bool dropUp { false }; // Data sent to the target is dropped.
+    bool dropDown { false }; // Data sent to the client is dropped.
+    long cutUpAfter { -1 }; // Resets the connection after this many bytes to the target; 0: before the first byte, -1: never.
+    long cutDownAfter { -1 }; // Likewise, for bytes to the client.
+    long delay { 0 }; // Delay of each chunk of data, in milliseconds.
 };
 
 using SharedFault = std::shared_ptr<std::atomic<std::shared_ptr<const Fault>>>;
 
-// One connection, both ways.
-class Tunnel : public std::enable_shared_from_this<Tunnel> {
+// One proxied TCP connection, in both directions.
+class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection> {
 public:
-    Tunnel(tcp::socket client, tcp::endpoint target, SharedFault fault)
+    ProxiedConnection(tcp::socket client, tcp::endpoint target, SharedFault fault)
         : m_client(std::move(client))
         , m_server(m_client.get_executor())
         , m_target(std::move(target))
@@ -56,15 +56,15 @@
     }
 
 private:
-    struct Way {
+    struct Direction {
         std::array<char, 16384> buf;
-        long passed { 0 };
+        long forwardedBytes { 0 };
         std::unique_ptr<SteadyTimer> timer;
     };
 
-    void pump(tcp::socket& from, tcp::socket& to, Way& way, bool up)
+    void pump(tcp::socket& from, tcp::socket& to, Direction& direction, bool up)
     {
-        from.async_read_some(asio::buffer(way.buf), [self = shared_from_this(), &from, &to, &way, up](const asio::error_code& ec, std::size_t size) {
+        from.async_read_some(asio::buffer(direction.buf), [self = shared_from_this(), &from, &to, &direction, up](const asio::error_code& ec, std::size_t size) {
             if (ec) {
                 asio::error_code ignored;
                 to.shutdown(tcp::socket::shutdown_send, ignored);
@@ -72,36 +72,36 @@
                     self->reset();
                 return;
             }
-            self->pass(from, to, way, up, size);
+            self->forwardChunk(from, to, direction, up, size);
         });
     }
 
-    void pass(tcp::socket& from, tcp::socket& to, Way& way, bool up, std::size_t size)
+    void forwardChunk(tcp::socket& from, tcp::socket& to, Direction& direction, bool up, std::size_t size)
     {
         auto fault = m_fault->load();
         auto limit = up ? fault->cutUpAfter : fault->cutDownAfter;
-        bool cut = limit >= 0 && way.passed + static_cast<long>(size) >= limit;
+        bool cut = limit >= 0 && direction.forwardedBytes + static_cast<long>(size) >= limit;
         if (cut)
-            size = static_cast<std::size_t>(std::max(0L, limit - way.passed));
+            size = static_cast<std::size_t>(std::max(0L, limit - direction.forwardedBytes));
         if (up ? fault->dropUp : fault->dropDown) {
-            pump(from, to, way, up);
+            pump(from, to, direction, up);
             return;
         }
-        way.passed += static_cast<long>(size);
-        auto forward = [self = shared_from_this(), &from, &to, &way, up, size, cut] {
-            asio::async_write(to, asio::buffer(way.buf, size), [self, &from, &to, &way, up, cut](const asio::error_code& ec, std::size_t) {
+        direction.forwardedBytes += static_cast<long>(size);
+        auto forward = [self = shared_from_this(), &from, &to, &direction, up, size, cut] {
+            asio::async_write(to, asio::buffer(direction.buf, size), [self, &from, &to, &direction, up, cut](const asio::error_code& ec, std::size_t) {
                 if (ec || cut)
                     self->reset();
                 else
-                    self->pump(from, to, way, up);
+                    self->pump(from, to, direction, up);
             });
         };
         if (fault->delay == 0) {
             forward();
             return;
         }
-        way.timer = std::make_unique<SteadyTimer>(m_client.get_executor(), Milliseconds(fault->delay));
-        way.timer->async_wait([forward](const asio::error_code&) { forward(); });
+        direction.timer = std::make_unique<SteadyTimer>(m_client.get_executor(), Milliseconds(fault->delay));
+        direction.timer->async_wait([forward](const asio::error_code&) { forward(); });
     }
 
     void reset()
@@ -117,8 +117,8 @@
     tcp::socket m_server;
     tcp::endpoint m_target;
     SharedFault m_fault;
-    Way m_up;
-    Way m_down;
+    Direction m_up;
+    Direction m_down;
 };
 
 class Forwarder {
@@ -153,7 +153,7 @@
         m_acceptor.async_accept([this](const asio::error_code& ec, tcp::socket socket) {
             auto current = fault->load();
             if (!ec && !current->refuse && m_target.port() != 0)
-                std::make_shared<Tunnel>(std::move(socket), m_target, fault)->start();
+                std::make_shared<ProxiedConnection>(std::move(socket), m_target, fault)->start();
             if (ec != asio::error::operation_aborted)
                 accept();
         });
@@ -175,7 +175,7 @@
     void setTarget(const Address& target) override { m_target = udp::endpoint(asio::ip::make_address(target.host), target.port); }
 
 private:
-    // Nodes answer to the address in the message, so only the way to the target passes here.
+    // Nodes reply to the address given in the message, so only datagrams to the target pass through the proxy.
     void receive()
     {
         m_socket.async_receive_from(asio::buffer(m_buf), m_sender, [this](const asio::error_code& ec, std::size_t size) {
@@ -204,18 +204,18 @@
 
     void addRoutes(HttpServer& server)
     {
-        // {"kind":"tcp|udp"} -> {"id","address"}
-        server.route("POST", "/forwards", [this](const HttpRequest& it) { return add(bodyOf(it)); });
-        // {"target":"HOST:PORT"} and members of Fault
-        server.route("POST", "/forwards/([0-9]+)", [this](const HttpRequest& it) { return change(std::stoul(it.captures[0]), bodyOf(it)); });
+        // {"kind":"tcp|udp"}: adds a forwarded port. Response: {"id","address"}.
+        server.route("POST", "/forwards", [this](const HttpRequest& it) { return add(jsonBody(it)); });
+        // {"target":"HOST:PORT"} and members of Fault in snake_case: changes a forwarded port.
+        server.route("POST", "/forwards/([0-9]+)", [this](const HttpRequest& it) { return change(std::stoul(it.captures[0]), jsonBody(it)); });
     }
 
 private:
-    HttpResponse add(const Json& wish)
+    HttpResponse add(const Json& body)
     {
         std::lock_guard lock(m_mutex);
         std::unique_ptr<Forwarder> forwarder;
-        if (wish.value("kind", "tcp") == "udp")
+        if (body.value("kind", "tcp") == "udp")
             forwarder = std::make_unique<UdpForwarder>(m_context);
         else
             forwarder = std::make_unique<TcpForwarder>(m_context);
@@ -224,22 +224,22 @@
         return reply(200, { { "id", m_forwarders.size() - 1 }, { "address", "127.0.0.1:" + std::to_string(port) } });
     }
 
-    HttpResponse change(std::size_t id, const Json& wish)
+    HttpResponse change(std::size_t id, const Json& body)
     {
         std::lock_guard lock(m_mutex);
         auto& forwarder = *m_forwarders.at(id);
-        auto target = parseAddress(wish.value("target", ""));
+        auto target = parseAddress(body.value("target", ""));
         if (target)
             forwarder.setTarget(target.value());
         auto fault = std::make_shared<Fault>();
-        fault->refuse = wish.value("refuse", false);
-        fault->dropUp = wish.value("drop_up", false);
-        fault->dropDown = wish.value("drop_down", false);
-        fault->cutUpAfter = wish.value("cut_up_after", -1L);
-        fault->cutDownAfter = wish.value("cut_down_after", -1L);
-        fault->delay = wish.value("delay_ms", 0L);
+        fault->refuse = body.value("refuse", false);
+        fault->dropUp = body.value("drop_up", false);
+        fault->dropDown = body.value("drop_down", false);
+        fault->cutUpAfter = body.value("cut_up_after", -1L);
+        fault->cutDownAfter = body.value("cut_down_after", -1L);
+        fault->delay = body.value("delay_ms", 0L);
         forwarder.fault->store(fault);
-        return reply(200, wish);
+        return reply(200, body);
     }
 
     asio::io_context m_context;
--- a/tests/fakes/instance_list.cpp
+++ b/tests/fakes/instance_list.cpp
@@ -1,4 +1,4 @@
-// Stand-in of the lagging instance list: what the cloud API said some time ago.
+// Fake instance list service that returns outdated data: the instances that the cloud API reported some time ago.
 #include "core/net/http_client.h"
 #include "tests/fakes/fake_program.h"
 #include <deque>
@@ -17,7 +17,7 @@
   --lag-ms LAG     Age of what is answered [default: 1000].
 )";
 
-// Takes a picture at each call and answers with the newest one that is old enough.
+// Takes a snapshot of the cloud API at each call and returns the newest snapshot that is at least `lag` old.
 class InstanceList {
 public:
     InstanceList(const Address& cloud, Milliseconds lag)
@@ -32,18 +32,18 @@
         std::lock_guard lock(m_mutex);
         auto now = steadyNow();
         if (current && current.value().ok())
-            m_pictures.emplace_back(now, current.value().body);
-        while (m_pictures.size() > 1 && now - m_pictures[1].first >= m_lag)
-            m_pictures.pop_front();
-        bool oldEnough = !m_pictures.empty() && now - m_pictures.front().first >= m_lag;
-        return { .body = oldEnough ? m_pictures.front().second : R"({"instances":[]})" };
+            m_snapshots.emplace_back(now, current.value().body);
+        while (m_snapshots.size() > 1 && now - m_snapshots[1].first >= m_lag)
+            m_snapshots.pop_front();
+        bool isOldEnough = !m_snapshots.empty() && now - m_snapshots.front().first >= m_lag;
+        return { .body = isOldEnough ? m_snapshots.front().second : R"({"instances":[]})" };
     }
 
 private:
     Address m_cloud;
     Milliseconds m_lag;
     std::mutex m_mutex;
-    std::deque<std::pair<SteadyTime, std::string>> m_pictures;
+    std::deque<std::pair<SteadyTime, std::string>> m_snapshots;
 };
 
 } // namespace
--- a/tests/fakes/model_engine.cpp
+++ b/tests/fakes/model_engine.cpp
@@ -1,5 +1,5 @@
-// Stand-in of a model engine: continuous batching, a prefix cache of limited size, streams that live on without a reader, resume,
-// cancel, KV cache transfer, late load reports, fenced orders. Its speed is settings; its text follows from the prompt.
+// Fake model engine: continuous batching, a prefix cache of limited size, streams that continue without a reader, resume, cancel, KV cache
+// transfer, delayed load reports, fenced orders. Its speed is configurable; the generated text depends only on the prompt.
 #include "core/digest.h"
 #include "core/net/http_client.h"
 #include "core/net/server_sent_events.h"
@@ -36,12 +36,12 @@
 constexpr std::size_t bytesPerToken = 4;
 constexpr std::size_t blockBytes = 512;
 
-// A stream's text grows with time alone, whether somebody reads it or not.
+// An answer being generated. It progresses with time, whether or not a client reads it.
 struct Stream {
     std::string prompt;
-    unsigned priorTokens { 0 }; // Of the answer, generated elsewhere.
+    unsigned priorTokens { 0 }; // Tokens of the answer that another engine has generated before.
     unsigned maximumTokens { 0 };
-    bool running { false }; // It has a slot.
+    bool running { false }; // The stream has been assigned a slot.
     SteadyTime firstTokenAt;
     bool cancelled { false };
     bool moved { false };
@@ -64,16 +64,17 @@
 
     void addRoutes(HttpServer& server)
     {
-        server.route("POST", "/v1/streams", [this](const HttpRequest& it) { return start(bodyOf(it)); });
+        server.route("POST", "/v1/streams", [this](const HttpRequest& it) { return start(jsonBody(it)); });
         server.route("GET", "/v1/streams/([^/]+)", [this](const HttpRequest& it) { return resume(it); });
         server.route("POST", "/v1/streams/([^/]+)/cancel", [this](const HttpRequest& it) { return cancel(it.captures[0]); });
         server.route("GET", "/v1/streams/([^/]+)/kv", [this](const HttpRequest& it) { return exportCache(it.captures[0]); });
-        server.route("POST", "/v1/kv/import", [this](const HttpRequest& it) { return importCache(bodyOf(it)); });
+        server.route("POST", "/v1/kv/import", [this](const HttpRequest& it) { return importCache(jsonBody(it)); });
         server.route("GET", "/v1/load", [this](const HttpRequest&) { return load(); });
-        server.route("POST", "/v1/orders", [this](const HttpRequest& it) { return order(bodyOf(it)); });
+        server.route("POST", "/v1/orders", [this](const HttpRequest& it) { return order(jsonBody(it)); });
         server.route("GET", "/control", [this](const HttpRequest&) { return counts(); });
-        // {"fault":"refuse|cut|truncate|cross|repeat|gap|early_end","after":N,"retry_after":"2"}; {"leaving":true}; {"limit":"2"}: named with each stream's start
-        server.route("POST", "/control", [this](const HttpRequest& it) { return control(bodyOf(it)); });
+        // {"fault":"refuse|cut|truncate|cross|repeat|gap|early_end","after":N,"retry_after":"2"}: a fault after N tokens; {"leaving":true};
+        // {"limit":"2"}: the limit advertised in the response that starts a stream.
+        server.route("POST", "/control", [this](const HttpRequest& it) { return control(jsonBody(it)); });
     }
 
 private:
@@ -83,8 +84,8 @@
     {
         if (!stream.running || now < stream.firstTokenAt)
             return stream.priorTokens;
-        auto passed = std::chrono::duration_cast<std::chrono::microseconds>(now - stream.firstTokenAt).count() / m_tokenTime;
-        return static_cast<unsigned>(std::min<std::int64_t>(stream.maximumTokens, stream.priorTokens + passed + 1));
+        auto elapsedTokens = std::chrono::duration_cast<std::chrono::microseconds>(now - stream.firstTokenAt).count() / m_tokenTime;
+        return static_cast<unsigned>(std::min<std::int64_t>(stream.maximumTokens, stream.priorTokens + elapsedTokens + 1));
     }
 
     bool ended(const Stream& stream, SteadyTime now) const { return stream.cancelled || stream.moved || (stream.running && tokensOf(stream, now) >= stream.maximumTokens); }
@@ -127,15 +128,15 @@
         while (runningLocked() >= m_slots && !m_streams[id].cancelled)
             m_changed.wait_for(lock, Milliseconds(5));
         --m_queued;
-        // The whole process, without a word: as an engine does that meets a prompt which it cannot bear.
+        // Exit without a response, like a real engine that crashes on a certain prompt.
         if (stream.prompt.find("crash, whoever reads this") != std::string::npos)
             ::_exit(1);
         auto tokens = static_cast<unsigned>(stream.prompt.size() / bytesPerToken + 1 + stream.priorTokens);
-        auto cached = takeCachedLocked(stream.prompt, tokens);
+        auto cached = updatePrefixCacheLocked(stream.prompt, tokens);
         m_counts["prefilled_tokens"] += tokens - cached;
         m_counts["prefilled_again_tokens"] += prior.empty() ? 0 : tokens - cached;
         m_streams[id].running = true;
-        // Prefills are done one after the other.
+        // Prefills run sequentially.
         m_prefillFreeAt = std::max(m_prefillFreeAt, steadyNow()) + std::chrono::microseconds(static_cast<std::int64_t>(1e6 * (tokens - cached) / m_prefillRate));
         m_streams[id].firstTokenAt = m_prefillFreeAt;
         auto limit = m_limit;
@@ -146,19 +147,19 @@
         return answer;
     }
 
-    // How many of the prompt's tokens are cached: its leading blocks that are known, each by all of the text up to it. Afterwards all
-    // of its blocks are.
-    unsigned takeCachedLocked(const std::string& prompt, unsigned tokens)
+    // Returns the number of prompt tokens in the prefix cache and adds all blocks of the prompt to the cache. A block is identified by the
+    // hash of the prompt up to its end; only an uninterrupted sequence of cached blocks from the start of the prompt counts.
+    unsigned updatePrefixCacheLocked(const std::string& prompt, unsigned tokens)
     {
-        unsigned hits = 0;
-        bool leading = true;
+        unsigned cachedLeadingBlocks = 0;
+        bool isLeading = true;
         for (std::size_t end = blockBytes; end <= prompt.size(); end += blockBytes) {
             auto hash = fastHash(std::string_view(prompt).substr(0, end));
-            auto known = m_blockIndex.find(hash);
-            leading = leading && known != m_blockIndex.end();
-            hits += leading ? 1 : 0;
-            if (known != m_blockIndex.end())
-                m_blocks.erase(known->second);
+            auto cachedBlock = m_blockIndex.find(hash);
+            isLeading = isLeading && cachedBlock != m_blockIndex.end();
+            cachedLeadingBlocks += isLeading ? 1 : 0;
+            if (cachedBlock != m_blockIndex.end())
+                m_blocks.erase(cachedBlock->second);
             m_blocks.push_front(hash);
             m_blockIndex[hash] = m_blocks.begin();
         }
@@ -166,13 +167,13 @@
             m_blockIndex.erase(m_blocks.back());
             m_blocks.pop_back();
         }
-        return std::min(static_cast<unsigned>(hits * blockBytes / bytesPerToken), tokens);
+        return std::min(static_cast<unsigned>(cachedLeadingBlocks * blockBytes / bytesPerToken), tokens);
     }
 
     HttpResponse resume(const HttpRequest& request)
     {
         const auto& id = request.captures[0];
-        auto offset = static_cast<std::size_t>(numberOf(request, "offset", 0));
+        auto offset = static_cast<std::size_t>(queryNumber(request, "offset", 0));
         Lock lock(m_mutex);
         auto it = m_streams.find(id);
         if (it == m_streams.end() || it->second.moved || it->second.cancelled)
@@ -195,16 +196,16 @@
 
     void write(const std::string& id, std::size_t offset, const HttpStreamWriter& writer)
     {
-        unsigned written = 0;
+        unsigned writtenTokens = 0;
         while (true) {
             Stream stream;
             std::string fault;
-            unsigned after = 0;
+            unsigned faultAfter = 0;
             {
                 Lock lock(m_mutex);
                 stream = m_streams[id];
                 fault = m_fault;
-                after = m_faultAfter;
+                faultAfter = m_faultAfter;
             }
             if (stream.cancelled)
                 return;
@@ -212,16 +213,16 @@
                 writer(event({ { "stream_id", id }, { "offset", offset }, { "moved", true } }));
                 return;
             }
-            // One reading of the clock for both questions: what there is to write, and whether it is all.
+            // Read the clock once, so that the available text and the check for the end of the answer are consistent.
             auto tokens = tokensOf(stream, steadyNow());
             auto text = expectedAnswer(stream.prompt, tokens);
             if (text.size() > offset) {
-                // One token an event.
+                // Write one token per event.
                 auto token = text.substr(offset, text.find(' ', offset) + 1 - offset);
-                if (!writeToken(id, offset, token, written >= after ? fault : std::string(), writer))
+                if (!writeToken(id, offset, token, writtenTokens >= faultAfter ? fault : std::string(), writer))
                     return;
                 offset += token.size();
-                ++written;
+                ++writtenTokens;
                 continue;
             }
             if (tokens >= stream.maximumTokens) {
@@ -330,8 +331,8 @@
         }
         auto weights = parseAddress(m_weights);
         for (unsigned n = 0; weights && n < 100; ++n) {
-            auto got = sendHttp(weights.value(), { .path = "/v1/weights/" + body.value("weights", "") });
-            if (got && got.value().ok())
+            auto download = sendHttp(weights.value(), { .path = "/v1/weights/" + body.value("weights", "") });
+            if (download && download.value().ok())
                 break;
             std::this_thread::sleep_for(Milliseconds(20));
         }
@@ -353,15 +354,15 @@
         return reply(200, document);
     }
 
-    HttpResponse control(const Json& wish)
+    HttpResponse control(const Json& command)
     {
         Lock lock(m_mutex);
-        m_fault = wish.value("fault", m_fault);
-        m_faultAfter = wish.value("after", 0U);
-        m_retryAfter = wish.value("retry_after", m_retryAfter);
-        m_limit = wish.value("limit", m_limit);
-        m_leaving = wish.value("leaving", m_leaving);
-        return reply(200, wish);
+        m_fault = command.value("fault", m_fault);
+        m_faultAfter = command.value("after", 0U);
+        m_retryAfter = command.value("retry_after", m_retryAfter);
+        m_limit = command.value("limit", m_limit);
+        m_leaving = command.value("leaving", m_leaving);
+        return reply(200, command);
     }
 
     std::string m_weights;
@@ -386,8 +387,8 @@
     unsigned m_queued { 0 };
     std::string m_fault;
     unsigned m_faultAfter { 0 };
-    std::string m_retryAfter {}; // With a refusal.
-    std::string m_limit {};
+    std::string m_retryAfter {}; // Value of the field Retry-After in refusals.
+    std::string m_limit {}; // Value of the field Onyxnotch-Limit; empty: not sent.
     bool m_leaving { false };
     Json m_report = Json::object();
     SteadyTime m_reportedAt;
--- a/tests/fakes/object_api.cpp
+++ b/tests/fakes/object_api.cpp
@@ -1,4 +1,5 @@
-// Stand-in of the platform's object API: versions, conditional updates, watches, call rates, outages, lost answers.
+// Fake object API of the platform: object versions, conditional updates, watches and call rate limits, with injected outages, delays and
+// lost responses.
 #include "tests/fakes/fake_program.h"
 #include <condition_variable>
 #include <deque>
@@ -40,13 +41,13 @@
         server.route("DELETE", "/v1/objects/(.+)", [this](const HttpRequest& it) { return call("write", it, [&] { return remove(it); }); });
         server.route("GET", "/v1/objects", [this](const HttpRequest& it) { return call("read", it, [&] { return list(it); }); });
         server.route("GET", "/v1/watch", [this](const HttpRequest& it) { return call("read", it, [&] { return watch(it); }); });
-        server.route("POST", "/control", [this](const HttpRequest& it) { return control(bodyOf(it)); });
+        server.route("POST", "/control", [this](const HttpRequest& it) { return control(jsonBody(it)); });
         server.route("GET", "/control", [this](const HttpRequest&) { return counts(); });
     }
 
 private:
-    // Counts the call, then lets the fault that is set have its way with it.
-    HttpResponse call(const std::string& kind, const HttpRequest& request, const std::function<HttpResponse()>& work)
+    // Counts the call, enforces the call rate, and runs `handler` with the configured fault.
+    HttpResponse call(const std::string& kind, const HttpRequest& request, const std::function<HttpResponse()>& handler)
     {
         Json fault;
         {
@@ -61,9 +62,9 @@
             return reply(503, { { "error", "outage" } });
         if (mode == "slow")
             std::this_thread::sleep_for(Milliseconds(fault.value("delay_ms", 1000)));
-        auto response = work();
+        auto response = handler();
         bool matches = request.path.find(fault.value("path", "")) != std::string::npos;
-        if (mode == "lose_write_answers" && kind == "write" && matches && takeLoss())
+        if (mode == "lose_write_answers" && kind == "write" && matches && consumeLostResponse())
             return reply(500, { { "error", "the answer was lost" } });
         return response;
     }
@@ -78,13 +79,13 @@
         return static_cast<long>(recent.size()) > (kind == "write" ? m_writeRate : m_readRate);
     }
 
-    bool takeLoss()
+    bool consumeLostResponse()
     {
         std::lock_guard lock(m_mutex);
-        auto left = m_fault.value("count", 1);
-        if (left <= 0)
+        auto remaining = m_fault.value("count", 1);
+        if (remaining <= 0)
             return false;
-        m_fault["count"] = left - 1;
+        m_fault["count"] = remaining - 1;
         return true;
     }
 
@@ -107,7 +108,7 @@
         return reply(200, toJson(key, it->second));
     }
 
-    // Whether the request's condition holds for the object as it is.
+    // Checks the If-None-Match or If-Match field of a request. `object` is nullptr if the object does not exist.
     static bool conditionHolds(const HttpRequest& request, const Object* object)
     {
         if (!request.header("if-none-match").empty())
@@ -173,7 +174,7 @@
         auto prefix = request.queryValue("prefix");
         auto revision = std::strtoull(request.queryValue("revision").c_str(), nullptr, 10);
         std::unique_lock lock(m_mutex);
-        m_changed.wait_for(lock, Milliseconds(numberOf(request, "wait_ms", 0)), [&] { return !eventsAfterLocked(prefix, revision).empty() || m_fault.value("mode", "up") == "down"; });
+        m_changed.wait_for(lock, Milliseconds(queryNumber(request, "wait_ms", 0)), [&] { return !eventsAfterLocked(prefix, revision).empty() || m_fault.value("mode", "up") == "down"; });
         if (m_fault.value("mode", "up") == "down")
             return reply(503, { { "error", "outage" } });
         return reply(200, { { "objects", eventsAfterLocked(prefix, revision) }, { "revision", m_revision } });
--- a/tests/fakes/own_loopback.h
+++ b/tests/fakes/own_loopback.h
@@ -1,7 +1,7 @@
-// A loopback address of this process's own, for all that a test's nodes and callers are told to connect to.
+// A loopback address that is specific to this test process. All servers of a test listen on it.
 //
-// Who asks a process or an endpoint that is gone may reach whoever has its port by then. With an address that all tests share that may be
-// another test's: requests of one then run at the endpoints of the other.
+// When a server has ended, its port may be reused by another process. If concurrent tests shared one address, a client of one test could
+// then reach a server of another test, and its requests would be executed there.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 
 inline std::string ownLoopback()
 {
-    constexpr int numbers = 250;
+    constexpr int addressRange = 250;
     auto id = ::getpid();
-    return "127." + std::to_string(1 + id / numbers % numbers) + "." + std::to_string(1 + id % numbers) + ".1";
+    return "127." + std::to_string(1 + id / addressRange % addressRange) + "." + std::to_string(1 + id % addressRange) + ".1";
 }
 
 } // namespace Onyxnotch::Tests
--- a/tests/fakes/plain_service.cpp
+++ b/tests/fakes/plain_service.cpp
@@ -1,4 +1,4 @@
-// Stand-in of a plain service. It counts how often each request id ran.
+// Fake plain service. Counts how often each request id has been executed.
 #include "tests/fakes/fake_program.h"
 #include <condition_variable>
 #include <map>
@@ -20,9 +20,9 @@
     void addRoutes(HttpServer& server)
     {
         server.route("GET", "/control/runs", [this](const HttpRequest&) { return runs(); });
-        // {"hold":true}: calls wait until it is taken back. {"refuse":true}: calls are refused as not started, with
-        // {"retry_after":"2"} for so many seconds. {"limit":"2"}: answers name that many calls a second.
-        server.route("POST", "/control", [this](const HttpRequest& it) { return control(bodyOf(it)); });
+        // {"hold":true}: calls block until it is reset. {"refuse":true}: calls are refused as not started; {"retry_after":"2"} sets the
+        // Retry-After field of refusals, in seconds. {"limit":"2"}: responses advertise a limit of 2 calls per second.
+        server.route("POST", "/control", [this](const HttpRequest& it) { return control(jsonBody(it)); });
         server.route("POST", "/.*", [this](const HttpRequest& it) { return run(it); });
     }
 
@@ -31,12 +31,12 @@
     {
         std::unique_lock lock(m_mutex);
         if (m_refuse) {
-            auto refused = reply(503, { { "error", "not now" } });
-            refused.headers.emplace("Onyxnotch-Not-Started", "1");
+            auto refusal = reply(503, { { "error", "not now" } });
+            refusal.headers.emplace("Onyxnotch-Not-Started", "1");
             if (!m_retryAfter.empty())
-                refused.headers.emplace("Retry-After", m_retryAfter);
+                refusal.headers.emplace("Retry-After", m_retryAfter);
             ++m_runs["refused"];
-            return refused;
+            return refusal;
         }
         auto id = request.header("idempotency-key");
         auto count = ++m_runs[id];
@@ -48,15 +48,15 @@
         return answer;
     }
 
-    HttpResponse control(const Json& wish)
+    HttpResponse control(const Json& command)
     {
         std::lock_guard lock(m_mutex);
-        m_hold = wish.value("hold", m_hold);
-        m_refuse = wish.value("refuse", m_refuse);
-        m_retryAfter = wish.value("retry_after", m_retryAfter);
-        m_limit = wish.value("limit", m_limit);
+        m_hold = command.value("hold", m_hold);
+        m_refuse = command.value("refuse", m_refuse);
+        m_retryAfter = command.value("retry_after", m_retryAfter);
+        m_limit = command.value("limit", m_limit);
         m_changed.notify_all();
-        return reply(200, wish);
+        return reply(200, command);
     }
 
     HttpResponse runs()
--- a/tests/fakes/platform_stand_in.h
+++ b/tests/fakes/platform_stand_in.h
@@ -1,4 +1,4 @@
-// Stand-in of the users' platform for tests of the entry program: the store with versions and watches, and the cloud's calls.
+// Fake platform for tests of onyxnotch-entry: an object store with revisions and watches, and the cloud API, which records its calls.
 #pragma once
 
 #include "core/clock.h"
@@ -11,7 +11,7 @@
 
 namespace Onyxnotch::Fakes {
 
-// A call to the cloud, as it came.
+// A recorded call to the cloud API.
 struct CloudCall {
     std::string path {};
     std::string holder {};
@@ -26,12 +26,12 @@
     PlatformStandIn()
         : m_server({ .threads = 64 })
     {
-        m_server.route("GET", "/objects/([^/]+)", [this](const HttpRequest& it) { return guarded([&] { return it.queryValue("watch").empty() ? list(it) : watch(it); }); });
-        m_server.route("GET", "/objects/([^/]+)/([^/]+)", [this](const HttpRequest& it) { return guarded([&] { return get(it); }); });
-        m_server.route("POST", "/objects/([^/]+)", [this](const HttpRequest& it) { return guarded([&] { return create(it); }); });
-        m_server.route("PUT", "/objects/([^/]+)/([^/]+)", [this](const HttpRequest& it) { return guarded([&] { return replace(it); }); });
-        m_server.route("PUT", "/objects/([^/]+)/([^/]+)/status", [this](const HttpRequest& it) { return guarded([&] { return recordStatus(it); }); });
-        m_server.route("POST", "/(usage|scale)", [this](const HttpRequest& it) { return cloud(it); });
+        m_server.route("GET", "/objects/([^/]+)", [this](const HttpRequest& it) { return handleStoreCall([&] { return it.queryValue("watch").empty() ? list(it) : watch(it); }); });
+        m_server.route("GET", "/objects/([^/]+)/([^/]+)", [this](const HttpRequest& it) { return handleStoreCall([&] { return get(it); }); });
+        m_server.route("POST", "/objects/([^/]+)", [this](const HttpRequest& it) { return handleStoreCall([&] { return create(it); }); });
+        m_server.route("PUT", "/objects/([^/]+)/([^/]+)", [this](const HttpRequest& it) { return handleStoreCall([&] { return replace(it); }); });
+        m_server.route("PUT", "/objects/([^/]+)/([^/]+)/status", [this](const HttpRequest& it) { return handleStoreCall([&] { return recordStatus(it); }); });
+        m_server.route("POST", "/(usage|scale)", [this](const HttpRequest& it) { return recordCloudCall(it); });
         (void)m_server.start();
     }
 
@@ -46,7 +46,7 @@
     void put(const std::string& kind, const std::string& name, const Json& spec)
     {
         std::lock_guard lock(m_mutex);
-        store(kind, name, spec);
+        writeObject(kind, name, spec);
     }
 
     void remove(const std::string& kind, const std::string& name)
@@ -58,7 +58,7 @@
         m_changed.notify_all();
     }
 
-    // What has been recorded of an object; null where nothing has.
+    // The recorded status of an object; null if there is none.
     Json status(const std::string& kind, const std::string& name) const
     {
         std::lock_guard lock(m_mutex);
@@ -68,7 +68,7 @@
         return objects->second.at(name).status;
     }
 
-    // Every call is refused while it is down; watches end.
+    // Simulates an outage: all calls to the store are refused, and pending watches end.
     void setDown(bool down)
     {
         std::lock_guard lock(m_mutex);
@@ -76,7 +76,7 @@
         m_changed.notify_all();
     }
 
-    // Calls to the store get no answer until it is released.
+    // While held, calls to the store block without a response.
     void setHeld(bool held)
     {
         std::lock_guard lock(m_mutex);
@@ -84,7 +84,7 @@
         m_changed.notify_all();
     }
 
-    // When calls to the store came, refused ones included.
+    // Times of all calls to the store, including refused ones.
     std::vector<SteadyTime> storeCalls() const
     {
         std::lock_guard lock(m_mutex);
@@ -109,7 +109,7 @@
 
     static HttpResponse reply(int status, const Json& body) { return { .status = status, .body = body.dump() }; }
 
-    HttpResponse guarded(const std::function<HttpResponse()>& work)
+    HttpResponse handleStoreCall(const std::function<HttpResponse()>& handler)
     {
         std::unique_lock lock(m_mutex);
         m_storeCalls.push_back(steadyNow());
@@ -117,7 +117,7 @@
         if (m_down)
             return reply(HttpStatus::serviceUnavailable, Json::object());
         lock.unlock();
-        return work();
+        return handler();
     }
 
     static Json encode(const std::string& name, const Object& object)
@@ -125,7 +125,7 @@
         return { { "metadata", { { "name", name }, { "revision", object.revision }, { "finalizers", Json::array() }, { "deletionPending", false } } }, { "spec", object.spec }, { "status", object.status } };
     }
 
-    void store(const std::string& kind, const std::string& name, const Json& spec)
+    void writeObject(const std::string& kind, const std::string& name, const Json& spec)
     {
         auto& object = m_kinds[kind][name];
         object = { .revision = ++m_revision, .spec = spec, .status = object.deleted ? Json() : object.status };
@@ -145,18 +145,18 @@
 
     HttpResponse watch(const HttpRequest& request)
     {
-        auto since = std::stoull(request.queryValue("watch"));
-        auto until = steadyNow() + Milliseconds(std::stol(request.queryValue("waitMs")));
+        auto afterRevision = std::stoull(request.queryValue("watch"));
+        auto deadline = steadyNow() + Milliseconds(std::stol(request.queryValue("waitMs")));
         std::unique_lock lock(m_mutex);
         Json events = Json::array();
         auto collect = [&] {
             for (const auto& [name, object] : m_kinds[request.captures[0]]) {
-                if (object.revision > since)
+                if (object.revision > afterRevision)
                     events.push_back({ { "object", encode(name, object) }, { "deleted", object.deleted } });
             }
             return m_down || !events.empty();
         };
-        m_changed.wait_until(lock, until, collect);
+        m_changed.wait_until(lock, deadline, collect);
         if (m_down)
             return reply(HttpStatus::serviceUnavailable, Json::object());
         return reply(HttpStatus::ok, { { "events", events }, { "modRev", m_revision } });
@@ -180,7 +180,7 @@
         auto& objects = m_kinds[request.captures[0]];
         if (objects.contains(name) && !objects[name].deleted)
             return reply(HttpStatus::conflict, encode(name, objects[name]));
-        store(request.captures[0], name, body["spec"]);
+        writeObject(request.captures[0], name, body["spec"]);
         return reply(HttpStatus::ok, encode(name, objects[name]));
     }
 
@@ -194,7 +194,7 @@
             return reply(HttpStatus::notFound, Json::object());
         if (body["metadata"].contains("revision") && body["metadata"]["revision"] != objects[name].revision)
             return reply(HttpStatus::conflict, encode(name, objects[name]));
-        store(request.captures[0], name, body["spec"]);
+        writeObject(request.captures[0], name, body["spec"]);
         return reply(HttpStatus::ok, encode(name, objects[name]));
     }
 
@@ -214,7 +214,7 @@
         return reply(HttpStatus::ok, encode(it->first, it->second));
     }
 
-    HttpResponse cloud(const HttpRequest& request)
+    HttpResponse recordCloudCall(const HttpRequest& request)
     {
         std::lock_guard lock(m_mutex);
         m_cloudCalls.push_back({
--- a/tests/fakes/scripted_endpoint.h
+++ b/tests/fakes/scripted_endpoint.h
@@ -1,4 +1,4 @@
-// An endpoint that answers with exactly the bytes that a test says, and remembers what reached it.
+// Fake endpoint that responds with exactly the bytes given by a test, and records the received requests.
 #pragma once
 
 #include "core/clock.h"
@@ -13,26 +13,26 @@
 
 namespace Onyxnotch::Fakes {
 
-// What an endpoint does with one request: pieces of bytes, then what becomes of the connection.
+// Response to one request: the bytes to send, then what to do with the connection.
 struct ScriptedAnswer {
     enum class Ending {
         Keep,
         Close,
         Reset,
-        Hang, // Nothing more is sent or read until the peer closes.
-        Crash, // The whole endpoint is gone, all its connections with it.
+        Hang, // Send and read nothing until the peer closes the connection.
+        Crash, // Stop the endpoint and close all its connections.
     };
 
     std::string bytes {};
     Ending ending { Ending::Keep };
-    bool beforeBody { false }; // Answers when the head is there, and reads no body.
+    bool beforeBody { false }; // Respond after the head of the request, without reading its body.
 };
 
 struct ReceivedRequest {
     HttpHead head {};
     std::string body {};
-    bool isWhole { true }; // False where the script is only asked whether it answers before the body is there.
-    SteadyTime arrivedAt {}; // When it was whole.
+    bool isWhole { true }; // False if only the head has arrived and the script is called just for `beforeBody`.
+    SteadyTime arrivedAt {}; // When the complete request had arrived.
 };
 
 class ScriptedEndpoint {
@@ -71,14 +71,14 @@
         return m_requests;
     }
 
-    // Whether it serves nobody any more.
+    // True after stop() or a crash.
     bool isStopped() const
     {
         std::lock_guard lock(m_mutex);
         return m_stopped;
     }
 
-    // Connections that their peer has closed.
+    // Number of hanging connections closed by the peer.
     unsigned closedByPeer() const
     {
         std::lock_guard lock(m_mutex);
@@ -145,9 +145,9 @@
 
     void waitForPeer(Socket& socket)
     {
-        // Without reading: what the peer sends stays where it is.
-        pollfd waited { .fd = socket.native_handle(), .events = POLLRDHUP, .revents = 0 };
-        ::poll(&waited, 1, -1);
+        // Wait without reading, so that data sent by the peer stays in the socket buffers.
+        pollfd pollEntry { .fd = socket.native_handle(), .events = POLLRDHUP, .revents = 0 };
+        ::poll(&pollEntry, 1, -1);
         std::lock_guard lock(m_mutex);
         ++m_closedByPeer;
     }
--- a/tests/fakes/streaming_endpoint.h
+++ b/tests/fakes/streaming_endpoint.h
@@ -1,4 +1,5 @@
-// An endpoint that answers each request with a stream, an event each period, until its caller leaves. One thread for all connections.
+// Fake endpoint that responds to each request with a stream of server-sent events, one per `period`, until the client disconnects. Serves
+// all connections on one thread.
 #pragma once
 
 #include "core/clock.h"
--- a/tests/fakes/weight_store.cpp
+++ b/tests/fakes/weight_store.cpp
@@ -1,4 +1,4 @@
-// Stand-in of the rate-limited weight store.
+// Fake weight store with a rate limit for downloads.
 #include "modules/admission/admission_control.h"
 #include "tests/fakes/fake_program.h"
 #include <mutex>
