--- a/core/deflate.cpp
+++ b/core/deflate.cpp
@@ -5,7 +5,7 @@
 
 namespace Onyxnotch {
 
-std::string deflated(std::string_view bytes)
+std::string compressText(std::string_view bytes)
 {
     std::string result(compressBound(bytes.size()), '\0');
     uLongf size = result.size();
@@ -14,7 +14,7 @@
     return result;
 }
 
-Result<std::string> inflated(std::string_view bytes, std::size_t most)
+Result<std::string> decompressText(std::string_view bytes, std::size_t most)
 {
     constexpr std::size_t firstGuess = 8;
     auto room = std::min(most, std::max<std::size_t>(bytes.size(), 1) * firstGuess);
--- a/core/deflate.h
+++ b/core/deflate.h
@@ -8,8 +8,8 @@
 namespace Onyxnotch {
 
 // In zlib's format, at its fastest level: lists and configurations shrink to an eighth.
-std::string deflated(std::string_view bytes);
+std::string compressText(std::string_view bytes);
 // Errors: InvalidArgument for what is no such text, or is longer than `most` bytes when it is whole.
-Result<std::string> inflated(std::string_view bytes, std::size_t most);
+Result<std::string> decompressText(std::string_view bytes, std::size_t most);
 
 } // namespace Onyxnotch
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -215,7 +215,7 @@
         logEvent(LogLevel::Warning, "log_lines_dropped", { { "count", dropped } });
 }
 
-bool LogBudget::take(SteadyTime now)
+bool LogRateLimiter::take(SteadyTime now)
 {
     auto elapsed = std::chrono::duration<double>(now - m_updatedAt).count();
     m_updatedAt = now;
@@ -228,7 +228,7 @@
     return true;
 }
 
-unsigned long LogBudget::takeLeftOut() { return std::exchange(m_leftOut, 0); }
+unsigned long LogRateLimiter::takeSuppressedCount() { return std::exchange(m_leftOut, 0); }
 
 LogLevel parseLogLevel(std::string_view text)
 {
--- a/core/log.h
+++ b/core/log.h
@@ -56,9 +56,9 @@
 void flushLog();
 
 // How many lines of a kind may be written in a second; the others are counted. Not thread safe.
-class LogBudget {
+class LogRateLimiter {
 public:
-    explicit LogBudget(double linesPerSecond)
+    explicit LogRateLimiter(double linesPerSecond)
         : m_linesPerSecond(linesPerSecond)
         , m_lines(linesPerSecond)
     {
@@ -67,7 +67,7 @@
     // False where the line should be left out.
     bool take(SteadyTime now);
     // Lines that were left out since the last call.
-    unsigned long takeLeftOut();
+    unsigned long takeSuppressedCount();
 
 private:
     double m_linesPerSecond;
--- a/core/net/async_connection.cpp
+++ b/core/net/async_connection.cpp
@@ -36,7 +36,7 @@
 {
     asio::error_code ec;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ec);
-    auto limit = static_cast<unsigned>(unacknowledgedLimit.count());
+    auto limit = static_cast<unsigned>(acknowledgementTimeout.count());
     ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
     m_socket.non_blocking(true, ec);
 }
@@ -145,7 +145,7 @@
 {
     auto self = shared_from_this();
     asio::error_code ec;
-    bytes.remove_prefix(writeNow(bytes, ec));
+    bytes.remove_prefix(writeWithoutBlocking(bytes, ec));
     if (ec || bytes.empty())
         co_return ec;
     guard(deadline);
@@ -167,7 +167,7 @@
     co_return outcome(ec);
 }
 
-std::size_t AsyncConnection::writeNow(std::string_view bytes, asio::error_code& ec)
+std::size_t AsyncConnection::writeWithoutBlocking(std::string_view bytes, asio::error_code& ec)
 {
     if (!m_socket.is_open()) {
         ec = asio::error::bad_descriptor;
@@ -179,7 +179,7 @@
     return size;
 }
 
-bool AsyncConnection::isQuiet()
+bool AsyncConnection::isReusable()
 {
     char byte = 0;
     if (!m_socket.is_open() || !m_input.empty())
--- a/core/net/async_connection.h
+++ b/core/net/async_connection.h
@@ -16,7 +16,7 @@
 
 // Bytes that were sent and not acknowledged for this long end a connection, so that a peer that lost its power is noticed. Longer than a
 // few retransmissions on a lossy link, shorter than any deadline of a caller.
-constexpr Milliseconds unacknowledgedLimit { 3000 };
+constexpr Milliseconds acknowledgementTimeout { 3000 };
 
 class AsyncConnection : public std::enable_shared_from_this<AsyncConnection> {
 public:
@@ -34,12 +34,12 @@
     // Returns when a write would take bytes, or bytes have arrived, or the peer has closed.
     asio::awaitable<asio::error_code> waitWritableOrReadable(SteadyTime deadline);
     // As far as the socket takes it at once; returns the bytes taken. For bytes whose rest write() sends.
-    std::size_t writeNow(std::string_view, asio::error_code&);
+    std::size_t writeWithoutBlocking(std::string_view, asio::error_code&);
 
     // Bytes that have arrived and were not taken yet.
     std::string& input() { return m_input; }
     // True where neither bytes nor an end wait to be read: an idle connection that can be used again.
-    bool isQuiet();
+    bool isReusable();
 
     // Calls `left` once when the peer closes or resets. Bytes that arrive meanwhile go to input(), up to a limit; beyond that the
     // watch ends. No read may run until unwatch().
--- a/core/net/async_http_client.cpp
+++ b/core/net/async_http_client.cpp
@@ -45,7 +45,7 @@
     while (!m_idle.empty()) {
         auto connection = m_idle.back();
         m_idle.pop_back();
-        if (connection->isQuiet())
+        if (connection->isReusable())
             co_return connection;
     }
     auto connection = std::make_shared<AsyncConnection>(m_context);
--- a/core/net/frame.h
+++ b/core/net/frame.h
@@ -32,11 +32,11 @@
     PeerRow = 13,
     PrefillNotice = 14,
     UsageNotice = 15,
-    ZoneSum = 16, // Of a relay's zone, to the relays of the other zones.
-    FleetSum = 17, // Of all zones, to the nodes of the relay's zone.
+    ZoneAggregate = 16, // Of a relay's zone, to the relays of the other zones.
+    FleetAggregate = 17, // Of all zones, to the nodes of the relay's zone.
     SuspectNotice = 18, // Endpoints have just ended under requests.
-    LimitNews = 19, // What limited endpoints take.
-    CreditAsk = 20, // To a relay, for a request to such an endpoint.
+    LimitUpdate = 19, // What limited endpoints take.
+    CreditRequest = 20, // To a relay, for a request to such an endpoint.
     CreditAnswer = 21,
     CreditReturn = 22,
 };
--- a/core/net/http_message.h
+++ b/core/net/http_message.h
@@ -43,7 +43,7 @@
     // Where set, the body is what this function writes; it runs once on the connection's thread.
     std::function<void(const HttpStreamWriter&)> stream {};
     // Let go once the whole response has been handed to the operating system, or could not be: until then a process that ends would cut it.
-    std::shared_ptr<void> untilWritten {};
+    std::shared_ptr<void> releasedWhenWritten {};
 };
 
 } // namespace Onyxnotch
--- a/core/net/http_server.cpp
+++ b/core/net/http_server.cpp
@@ -30,7 +30,7 @@
 
     void toLibrary(HttpResponse response, httplib::Response& target)
     {
-        heldUntilWritten = std::move(response.untilWritten);
+        heldUntilWritten = std::move(response.releasedWhenWritten);
         target.status = response.status;
         for (const auto& [name, value] : response.headers)
             target.set_header(name, value);
--- a/core/net/http_status.h
+++ b/core/net/http_status.h
@@ -25,12 +25,12 @@
 constexpr int gatewayTimeout = 504;
 
 // Answers by which a caller may know that its request has not run, and never will.
-constexpr bool promisesNotRun(int status)
+constexpr bool guaranteesNotExecuted(int status)
 {
     return status == requestTimeout || status == misdirected || status == tooManyRequests || status == serviceUnavailable;
 }
 
 // Whether it turns its request away, rather than saying something of the request.
-constexpr bool turnsAway(int status) { return status == tooManyRequests || status == serviceUnavailable; }
+constexpr bool isRefusalStatus(int status) { return status == tooManyRequests || status == serviceUnavailable; }
 
 } // namespace Onyxnotch::HttpStatus
--- a/core/net/retry_after.cpp
+++ b/core/net/retry_after.cpp
@@ -11,7 +11,7 @@
     auto seconds = parseDecimal(text);
     if (!seconds)
         return std::nullopt;
-    auto longest = std::chrono::duration<double>(longestRetryAfter).count();
+    auto longest = std::chrono::duration<double>(maximumParsedRetryAfter).count();
     return Milliseconds(static_cast<std::int64_t>(std::ceil(std::min(*seconds, longest) * 1000)));
 }
 
--- a/core/net/retry_after.h
+++ b/core/net/retry_after.h
@@ -8,7 +8,7 @@
 namespace Onyxnotch {
 
 // More is taken as this: nothing that a peer says may overflow a time.
-constexpr Milliseconds longestRetryAfter { std::chrono::hours(24) };
+constexpr Milliseconds maximumParsedRetryAfter { std::chrono::hours(24) };
 
 // Seconds, which may have a fraction and are rounded up to milliseconds. A number below zero, a date (its clock is not ours) or anything
 // else is not understood: empty.
--- a/core/recent_most.h
+++ b/core/sliding_maximum.h
@@ -6,7 +6,7 @@
 
 namespace Onyxnotch {
 
-class RecentMost {
+class SlidingMaximum {
 public:
     // Takes a value, and returns the largest since `now - memory`.
     unsigned take(unsigned value, SteadyTime now, Milliseconds memory)
--- a/core/utf8.cpp
+++ b/core/utf8.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-std::string readableText(std::string text)
+std::string sanitizeUtf8(std::string text)
 {
     auto sound = soundPrefix(text, 0);
     if (sound == text.size())
@@ -49,7 +49,7 @@
         readable.append(text, begin, sound - begin);
         if (sound == text.size())
             break;
-        readable += unreadableMark;
+        readable += replacementCharacter;
         begin = sound + 1;
         sound = soundPrefix(text, begin);
     }
--- a/main/entry_main.cpp
+++ b/main/entry_main.cpp
@@ -169,7 +169,7 @@
         return static_cast<int>(ExitCode::Unavailable);
     }
     logEvent(LogLevel::Info, "listening",
-        { { "callers", node.callersAddress().text() }, { "readiness", node.readinessAddress().text() }, { "control", node.controlAddress().text() },
+        { { "callers", node.clientsAddress().text() }, { "readiness", node.readinessAddress().text() }, { "control", node.controlAddress().text() },
             { "gossip", node.gossipAddress().text() } });
     signals.run();
     node.wait();
--- a/main/entry_settings.cpp
+++ b/main/entry_settings.cpp
@@ -122,9 +122,9 @@
         auto descriptors = document["limits"]["descriptors"].get<unsigned>();
         entry.forward.names = Platform::wireNames();
         entry.forward.zone = entry.zone;
-        entry.forward.maximumCallers = static_cast<unsigned>((std::max(descriptors, reservedDescriptors + 64) - reservedDescriptors) * clientDescriptorShare);
-        entry.forward.maximumHeldBytes = static_cast<std::size_t>(document["limits"]["memoryMegabytes"].get<double>() * bytesInMegabyte * bodyMemoryShare);
-        entry.forward.startWait = milliseconds(document["startWaitMs"]);
+        entry.forward.maximumClients = static_cast<unsigned>((std::max(descriptors, reservedDescriptors + 64) - reservedDescriptors) * clientDescriptorShare);
+        entry.forward.maximumBufferedBodyBytes = static_cast<std::size_t>(document["limits"]["memoryMegabytes"].get<double>() * bytesInMegabyte * bodyMemoryShare);
+        entry.forward.startupWait = milliseconds(document["startWaitMs"]);
         entry.forward.usageWindowMilliseconds = static_cast<unsigned>(millisecondsFromSeconds(document["usageWindowSeconds"]).count());
         entry.retries = { .perRequest = document["retries"]["perRequest"], .reserve = document["retries"]["reserve"] };
         auto& rollouts = entry.rollouts;
--- a/main/operator_commands.cpp
+++ b/main/operator_commands.cpp
@@ -7,7 +7,7 @@
 #include "modules/client/client.h"
 #include "modules/declaration/configuration_store.h"
 #include "modules/placement/placement_plan.h"
-#include "modules/report/request_account.h"
+#include "modules/report/request_timeline.h"
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -272,7 +272,7 @@
     auto log = readLogs(paths);
     if (!log)
         return fail(log.error());
-    auto account = requestAccount(log.value(), requestId);
+    auto account = requestTimeline(log.value(), requestId);
     if (account.empty())
         return fail({ ErrorCode::NotFound, "no log line mentions request " + requestId + " (" + std::to_string(log.value().lines.size()) + " lines read, " + std::to_string(log.value().skipped) + " could not be parsed)" });
     std::cout << account;
--- a/main/settings.cpp
+++ b/main/settings.cpp
@@ -184,9 +184,9 @@
     const auto& listen = document.at("listen");
     options.http = { .host = listen.at("host"), .port = listen.at("httpPort"), .threads = document.at("httpThreads"), .maximumBodyBytes = document.at("maximumBodyBytes") };
     options.advertisedHttpPort = document.at("advertise").at("httpPort");
-    options.api = { .instance = node.instance, .zone = node.zone, .operatorKeyDigest = document.at("operatorKeyDigest"), .addressesValid = milliseconds(document, "addressesValidMs") };
+    options.api = { .instance = node.instance, .zone = node.zone, .operatorKeyDigest = document.at("operatorKeyDigest"), .addressesValidity = milliseconds(document, "addressesValidMs") };
     options.requests.admission = { .maximumActive = document.at("maximumActive"), .reservedForHigherPriority = document.at("reservedForHigherPriority") };
-    options.requests.hardMaximumActive = 2 * options.requests.admission.maximumActive;
+    options.requests.maximumActiveWithHandovers = 2 * options.requests.admission.maximumActive;
     options.requests.ledgers.ticketLifetime = milliseconds(document, "ticketLifetimeMs");
     options.requests.ledgers.ledger.maximumEntries = document.at("maximumLedgerEntries");
     options.requests.ledgers.maximumAdoptedLedgers = document.at("maximumAdoptedLedgers");
@@ -202,7 +202,7 @@
     options.requests.timelyPart = document.at("timelyPart");
     options.endpointSubset = document.at("endpointSubset");
     options.routingPolicy = document.at("routingPolicy");
-    options.requests.runner.reclaim.movesAllowed = document.at("reclaimPolicy") == "least-recomputation";
+    options.requests.runner.reclaim.isMoveAllowed = document.at("reclaimPolicy") == "least-recomputation";
     options.routing.batchSlots = document.at("batchSlots");
     static constexpr double millisecondsPerSecond = 1000;
     options.routing.tokenSeconds = document.at("tokenMs").get<double>() / millisecondsPerSecond;
@@ -222,10 +222,10 @@
     options.http = { .host = listen.at("host"), .port = listen.at("httpPort"), .threads = controllerThreads };
     options.lease = { .duration = milliseconds(document, "leaseDurationMs"), .renewEvery = milliseconds(document, "leaseRenewMs") };
     options.period = milliseconds(document, "periodMs");
-    options.refusalMemory = milliseconds(document, "refusalMemoryMs");
-    options.zone.longestOrder = milliseconds(document, "longestOrderMs");
-    options.zone.longestTermination = milliseconds(document, "longestTerminationMs");
-    options.zone.retireTime = milliseconds(document, "retireMs");
+    options.refusalRetention = milliseconds(document, "refusalMemoryMs");
+    options.zone.orderTimeout = milliseconds(document, "longestOrderMs");
+    options.zone.terminationTimeout = milliseconds(document, "longestTerminationMs");
+    options.zone.retirementDrainTime = milliseconds(document, "retireMs");
     return options;
 }
 
--- a/modules/balance/endpoint_rests.h
+++ b/modules/balance/endpoint_backoffs.h
@@ -4,16 +4,16 @@
 #pragma once
 
 #include "core/clock.h"
-#include "modules/traffic/endpoint_life.h"
+#include "modules/traffic/endpoint_incarnation.h"
 #include <algorithm>
 #include <map>
 
 namespace Onyxnotch {
 
-class EndpointRests {
+class EndpointBackoffs {
 public:
     // Starts a backoff of length `rest` for the endpoint. If one is already running, the later end applies.
-    void ask(const EndpointLife& life, Milliseconds rest, SteadyTime now)
+    void ask(const EndpointIncarnation& life, Milliseconds rest, SteadyTime now)
     {
         std::erase_if(m_restEnds, [now](const auto& it) { return it.second <= now; });
         if (rest.count() <= 0)
@@ -22,10 +22,10 @@
         end = std::max(end, now + rest);
     }
 
-    bool isResting(const EndpointLife& life, SteadyTime now) const { return endOf(life) > now; }
+    bool isInBackoff(const EndpointIncarnation& life, SteadyTime now) const { return endOf(life) > now; }
 
     // End of the endpoint's backoff; a default-constructed time if it has none.
-    SteadyTime endOf(const EndpointLife& life) const
+    SteadyTime endOf(const EndpointIncarnation& life) const
     {
         auto it = m_restEnds.find(life);
         return it == m_restEnds.end() ? SteadyTime {} : it->second;
@@ -37,7 +37,7 @@
     }
 
 private:
-    std::map<EndpointLife, SteadyTime> m_restEnds {};
+    std::map<EndpointIncarnation, SteadyTime> m_restEnds {};
 };
 
 } // namespace Onyxnotch
--- a/modules/balance/endpoint_book.cpp
+++ b/modules/balance/endpoint_book.cpp
@@ -23,7 +23,7 @@
 {
 }
 
-std::vector<EndpointLife> EndpointBook::update(const std::shared_ptr<const EndpointList>& list, const TrafficConfiguration& configuration, SteadyTime now)
+std::vector<EndpointIncarnation> EndpointBook::update(const std::shared_ptr<const EndpointList>& list, const TrafficConfiguration& configuration, SteadyTime now)
 {
     if (!list || list == m_list)
         return {};
@@ -40,7 +40,7 @@
         if (listed.leaving)
             mark(listed.life(), m_readsStore, now);
     }
-    std::vector<EndpointLife> disappeared;
+    std::vector<EndpointIncarnation> disappeared;
     for (const auto& [life, state] : m_endpoints) {
         if (!isListed(life) && !m_leaving.contains(life))
             disappeared.push_back(life);
@@ -53,10 +53,10 @@
     return disappeared;
 }
 
-bool EndpointBook::isExpectedToLive(const EndpointLife& life) const { return m_endpoints.contains(life) && !m_leaving.contains(life); }
+bool EndpointBook::isExpectedToServe(const EndpointIncarnation& life) const { return m_endpoints.contains(life) && !m_leaving.contains(life); }
 
 // Whether the list contains this incarnation of the endpoint.
-bool EndpointBook::isListed(const EndpointLife& life) const
+bool EndpointBook::isListed(const EndpointIncarnation& life) const
 {
     if (!m_list)
         return false;
@@ -64,7 +64,7 @@
     return it != m_list->endpoints.end() && it->second.born == life.born;
 }
 
-void EndpointBook::mark(const EndpointLife& life, bool isFoundLocally, SteadyTime now)
+void EndpointBook::mark(const EndpointIncarnation& life, bool isFoundLocally, SteadyTime now)
 {
     auto& known = m_leaving.try_emplace(life, LeavingMark { .since = now }).first->second;
     known.isFoundLocally = known.isFoundLocally || isFoundLocally;
@@ -75,25 +75,25 @@
     std::erase_if(m_leaving, [&](const auto& it) { return now - it.second.since > markRetention && !isListed(it.first); });
 }
 
-void EndpointBook::markLeaving(const EndpointLife& life, SteadyTime now) { mark(life, false, now); }
+void EndpointBook::markLeaving(const EndpointIncarnation& life, SteadyTime now) { mark(life, false, now); }
 
-void EndpointBook::foundLeaving(const EndpointLife& life, SteadyTime now) { mark(life, true, now); }
+void EndpointBook::markFoundLeaving(const EndpointIncarnation& life, SteadyTime now) { mark(life, true, now); }
 
-void EndpointBook::tellMarksAgain(SteadyTime now) { m_resendMarksUntil = now + markSendTime; }
+void EndpointBook::resendLeavingMarks(SteadyTime now) { m_resendMarksUntil = now + markSendTime; }
 
 // Older marks have reached all nodes or are shown by the list, except while marks are sent again for a node that has just started.
-bool EndpointBook::shouldSendMark(const EndpointLife& life, const LeavingMark& mark, SteadyTime now) const
+bool EndpointBook::shouldSendMark(const EndpointIncarnation& life, const LeavingMark& mark, SteadyTime now) const
 {
     if (now - mark.since < markSendTime)
         return true;
     return now < m_resendMarksUntil && isListedAndNotLeaving(life);
 }
 
-bool EndpointBook::isListedAndNotLeaving(const EndpointLife& life) const { return isListed(life) && !m_list->endpoints.at(life.id).leaving; }
+bool EndpointBook::isListedAndNotLeaving(const EndpointIncarnation& life) const { return isListed(life) && !m_list->endpoints.at(life.id).leaving; }
 
-std::vector<EndpointLife> EndpointBook::unlistedLeavingMarks() const
+std::vector<EndpointIncarnation> EndpointBook::leavingMarksMissingInList() const
 {
-    std::vector<EndpointLife> unlisted;
+    std::vector<EndpointIncarnation> unlisted;
     for (const auto& [life, mark] : m_leaving) {
         if (isListedAndNotLeaving(life))
             unlisted.push_back(life);
@@ -101,9 +101,9 @@
     return unlisted;
 }
 
-std::vector<EndpointLife> EndpointBook::recentLeavingMarks(SteadyTime now) const
+std::vector<EndpointIncarnation> EndpointBook::recentLeavingMarks(SteadyTime now) const
 {
-    std::vector<EndpointLife> recent;
+    std::vector<EndpointIncarnation> recent;
     for (const auto& [life, mark] : m_leaving) {
         if (shouldSendMark(life, mark, now))
             recent.push_back(life);
@@ -111,9 +111,9 @@
     return recent;
 }
 
-std::vector<EndpointLife> EndpointBook::ownLeavingMarks(SteadyTime now, std::size_t maximum) const
+std::vector<EndpointIncarnation> EndpointBook::ownLeavingMarks(SteadyTime now, std::size_t maximum) const
 {
-    std::vector<std::pair<SteadyTime, EndpointLife>> found;
+    std::vector<std::pair<SteadyTime, EndpointIncarnation>> found;
     for (const auto& [life, mark] : m_leaving) {
         bool isOwn = mark.isFoundLocally || now < m_resendMarksUntil;
         if (isOwn && shouldSendMark(life, mark, now))
@@ -122,7 +122,7 @@
     std::sort(found.rbegin(), found.rend());
     if (found.size() > maximum)
         found.resize(maximum);
-    std::vector<EndpointLife> lives;
+    std::vector<EndpointIncarnation> lives;
     lives.reserve(found.size());
     for (auto& [since, life] : found)
         lives.push_back(std::move(life));
@@ -138,9 +138,9 @@
 bool EndpointBook::isCandidate(const EndpointState& state, const EndpointRequest& request, SteadyTime now) const
 {
     bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), state.listed.id) != request.excluded.end();
-    if (isExcluded || !isEligible(state, request) || m_rests.isResting(state.listed.life(), now))
+    if (isExcluded || !isEligible(state, request) || m_rests.isInBackoff(state.listed.life(), now))
         return false;
-    return !request.skipsSpent || m_limits.creditAt(state.listed.life(), now) <= now;
+    return !request.skipsEndpointsWithoutCredit || m_limits.creditAt(state.listed.life(), now) <= now;
 }
 
 double EndpointBook::limitOf(const EndpointRequest& request) const
@@ -156,7 +156,7 @@
     return perSecond;
 }
 
-std::optional<SteadyTime> EndpointBook::firstBack(const EndpointRequest& request, SteadyTime now) const
+std::optional<SteadyTime> EndpointBook::earliestAvailable(const EndpointRequest& request, SteadyTime now) const
 {
     auto found = m_endpointsByService.find(request.service);
     if (found == m_endpointsByService.end())
@@ -243,11 +243,11 @@
         .leastWaitSeconds = choice->leastWaitSeconds,
         .uncachedTokens = choice->uncachedTokens,
         .waitingTokens = candidates[choice->candidate].waitingTokens,
-        .slotFree = candidates[choice->candidate].inFlight < candidates[choice->candidate].slots,
+        .isSlotFree = candidates[choice->candidate].inFlight < candidates[choice->candidate].slots,
         .reason = choice->reason };
 }
 
-bool EndpointBook::trustsTimes(SteadyTime now) const
+bool EndpointBook::areTimesTrusted(SteadyTime now) const
 {
     return m_firstEvents.isTrusted() || (m_firstSentAt != SteadyTime {} && now - m_firstSentAt >= trustedAfter);
 }
@@ -281,7 +281,7 @@
     return state.waitingTokens + std::max({ 0.0, state.peersWaitingTokens - tokensReadSince, announcedTokens });
 }
 
-void EndpointBook::notePeersPrefill(const EndpointLife& life, double tokens, SteadyTime now)
+void EndpointBook::onPeerPrefill(const EndpointIncarnation& life, double tokens, SteadyTime now)
 {
     auto it = m_endpoints.find(life);
     if (it == m_endpoints.end())
@@ -290,7 +290,7 @@
     it->second->peersPrefillEndsAt = std::max(it->second->peersPrefillEndsAt, now) + duration;
 }
 
-void EndpointBook::setPeerLoads(const std::map<EndpointLife, EndpointLoadReport>& loads, SteadyTime now)
+void EndpointBook::setPeerLoads(const std::map<EndpointIncarnation, EndpointLoadReport>& loads, SteadyTime now)
 {
     for (const auto& [life, state] : m_endpoints) {
         auto it = loads.find(life);
--- a/modules/balance/endpoint_book.h
+++ b/modules/balance/endpoint_book.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "core/net/async_connection.h"
+#include "modules/balance/endpoint_backoffs.h"
 #include "modules/balance/endpoint_choice.h"
 #include "modules/balance/endpoint_health.h"
-#include "modules/balance/endpoint_rests.h"
 #include "modules/balance/first_event_model.h"
 #include "modules/balance/prefix_cache.h"
 #include "modules/balance/slot_time_model.h"
@@ -18,7 +18,7 @@
 
 // Load that one node's requests put on an endpoint; nodes send these reports to each other.
 struct EndpointLoadReport {
-    EndpointLife endpoint {};
+    EndpointIncarnation endpoint {};
     double inFlight { 0 };
     double waitingTokens { 0 };
 
@@ -55,7 +55,7 @@
     double promptTokens { 0 };
     double objectiveSeconds { 0 }; // Time left until the request's first-event objective.
     std::vector<std::string> excluded {}; // Ids of endpoints that the request was already sent to, or for which it got no credit.
-    bool skipsSpent { false }; // Leave out endpoints that have no credit at present.
+    bool skipsEndpointsWithoutCredit { false }; // Leave out endpoints that have no credit at present.
     VersionLimits versions {};
 };
 
@@ -66,7 +66,7 @@
     double leastWaitSeconds { 0 }; // Shortest expected wait behind other requests at any candidate endpoint.
     double uncachedTokens { 0 };
     double waitingTokens { 0 }; // Unread prompt tokens that are expected at the endpoint ahead of this request.
-    bool slotFree { false }; // A slot is expected to be free.
+    bool isSlotFree { false }; // A slot is expected to be free.
     std::string_view reason {};
 };
 
@@ -76,34 +76,34 @@
 
     // Adopts the list if it has changed. Endpoints that are no longer listed get no new requests; a new incarnation starts with empty
     // state. Returns the incarnations that disappeared from the list without having been marked as leaving.
-    std::vector<EndpointLife> update(const std::shared_ptr<const EndpointList>&, const TrafficConfiguration&, SteadyTime now);
+    std::vector<EndpointIncarnation> update(const std::shared_ptr<const EndpointList>&, const TrafficConfiguration&, SteadyTime now);
     // Records a mark received from another node: this endpoint incarnation is leaving.
-    void markLeaving(const EndpointLife&, SteadyTime now);
+    void markLeaving(const EndpointIncarnation&, SteadyTime now);
     // Records that this node itself found the endpoint to be leaving, by an attempt or by the list read from the store.
-    void foundLeaving(const EndpointLife&, SteadyTime now);
+    void markFoundLeaving(const EndpointIncarnation&, SteadyTime now);
     // Sets whether the lists passed to update() come from the store itself rather than from another node. Only then do leaving endpoints in
     // the list count as found by this node (see ownLeavingMarks()).
     void setReadsStore(bool readsStore) { m_readsStore = readsStore; }
     // Marks of the last 5 seconds, to send to other nodes. Older marks have reached them already, or the store's list has.
-    std::vector<EndpointLife> recentLeavingMarks(SteadyTime now) const;
+    std::vector<EndpointIncarnation> recentLeavingMarks(SteadyTime now) const;
     // The recent marks that this node found itself, newest first, up to `maximum`. Used in a large fleet, where relay nodes forward marks:
     // if every node also repeated the marks it received, 1,300 endpoints leaving within five seconds would add 27 KB to each row.
-    std::vector<EndpointLife> ownLeavingMarks(SteadyTime now, std::size_t maximum) const;
+    std::vector<EndpointIncarnation> ownLeavingMarks(SteadyTime now, std::size_t maximum) const;
 
     // Marks of any age whose endpoint the list still shows as not leaving.
-    std::vector<EndpointLife> unlistedLeavingMarks() const;
+    std::vector<EndpointIncarnation> leavingMarksMissingInList() const;
     // Called when another node has started, which knows no mark from before its start: for 5 seconds the marks that the list does not show
     // are sent again.
-    void tellMarksAgain(SteadyTime now);
+    void resendLeavingMarks(SteadyTime now);
 
     // Whether this incarnation is in the list and not marked as leaving.
-    bool isExpectedToLive(const EndpointLife&) const;
-    bool isLeaving(const EndpointLife& life) const { return m_leaving.contains(life); }
+    bool isExpectedToServe(const EndpointIncarnation&) const;
+    bool isLeaving(const EndpointIncarnation& life) const { return m_leaving.contains(life); }
     // Records a backoff requested by the endpoint. During `rest` it is not chosen, even as the last one left: it would refuse the request.
-    void askedRest(const EndpointLife& life, Milliseconds rest, SteadyTime now) { m_rests.ask(life, rest, now); }
+    void askedRest(const EndpointIncarnation& life, Milliseconds rest, SteadyTime now) { m_rests.ask(life, rest, now); }
     std::size_t resting(SteadyTime now) const { return m_rests.resting(now); }
     // Whether a request that was assigned to this endpoint may still be sent there.
-    bool mayStillSend(const EndpointLife& life, SteadyTime now) const { return isExpectedToLive(life) && !m_rests.isResting(life, now); }
+    bool mayStillSend(const EndpointIncarnation& life, SteadyTime now) const { return isExpectedToServe(life) && !m_rests.isInBackoff(life, now); }
     // Limits that endpoints advertise for the requests of all nodes together.
     EndpointLimits& limits() { return m_limits; }
     const EndpointLimits& limits() const { return m_limits; }
@@ -111,7 +111,7 @@
     double limitOf(const EndpointRequest&) const;
     // Earliest time at which an eligible endpoint's backoff has ended and a credit is available. Empty if that holds for one now, or if no
     // endpoint is eligible.
-    std::optional<SteadyTime> firstBack(const EndpointRequest&, SteadyTime now) const;
+    std::optional<SteadyTime> earliestAvailable(const EndpointRequest&, SteadyTime now) const;
     // Chooses an endpoint; empty if the service has none that may be used. Changes no state: call noteSent() when the request is sent.
     std::optional<ChosenEndpoint> choose(const EndpointRequest&, SteadyTime now) const;
     // Records that the request is sent to the endpoint, which is then expected to have the prompt's parts in its prefix cache.
@@ -137,14 +137,14 @@
     // Load of this node's requests in flight by endpoint, to send to other nodes.
     std::vector<EndpointLoadReport> ownLoads() const;
     // Sets the load that all other nodes together put on each endpoint.
-    void setPeerLoads(const std::map<EndpointLife, EndpointLoadReport>&, SteadyTime now);
+    void setPeerLoads(const std::map<EndpointIncarnation, EndpointLoadReport>&, SteadyTime now);
     // Records another node's notice that it has just sent a long prompt with `tokens` uncached tokens to the endpoint.
-    void notePeersPrefill(const EndpointLife&, double tokens, SteadyTime now);
+    void onPeerPrefill(const EndpointIncarnation&, double tokens, SteadyTime now);
     // Prompt tokens, of this node's and other nodes' requests, that the endpoint is estimated not to have read yet.
     double waitingTokens(const EndpointState&, SteadyTime now) const;
 
     // Sets the typical age of the load reports of other nodes.
-    void setPeersStaleFor(Milliseconds age) { m_options.staleSeconds = std::chrono::duration<double>(age).count(); }
+    void setPeerLoadAge(Milliseconds age) { m_options.staleSeconds = std::chrono::duration<double>(age).count(); }
     // Records the time to first event of a request that found no other prompt waiting at its endpoint.
     void observeFirstEvent(double uncachedTokens, double seconds);
     // Records how long a request that found a free slot occupied it.
@@ -153,7 +153,7 @@
     // prompt was sent. If requests that find no other prompt waiting are still too rare by then, the endpoints are overloaded and an
     // inaccurate estimate is better than none: refusals based on it let other requests find nothing waiting, whose times correct the
     // estimate.
-    bool trustsTimes(SteadyTime now) const;
+    bool areTimesTrusted(SteadyTime now) const;
     // Estimated time an engine needs to read that many uncached prompt tokens.
     double prefillSeconds(double uncachedTokens) const { return uncachedTokens * m_firstEvents.secondsPerToken(); }
 
@@ -163,28 +163,28 @@
         bool isFoundLocally { false };
     };
 
-    void mark(const EndpointLife&, bool isFoundLocally, SteadyTime now);
+    void mark(const EndpointIncarnation&, bool isFoundLocally, SteadyTime now);
     void removeExpiredMarks(SteadyTime now);
     double memoryTokens(const std::string& service) const;
     double slotSeconds(const std::string& service) const;
     // Whether the endpoint is not leaving and runs a version that the request may go to.
     bool isEligible(const EndpointState&, const EndpointRequest&) const;
     bool isCandidate(const EndpointState&, const EndpointRequest&, SteadyTime now) const;
-    bool isListed(const EndpointLife&) const;
+    bool isListed(const EndpointIncarnation&) const;
     // Whether the list contains this incarnation and does not show it as leaving.
-    bool isListedAndNotLeaving(const EndpointLife&) const;
-    bool shouldSendMark(const EndpointLife&, const LeavingMark&, SteadyTime now) const;
+    bool isListedAndNotLeaving(const EndpointIncarnation&) const;
+    bool shouldSendMark(const EndpointIncarnation&, const LeavingMark&, SteadyTime now) const;
     // Reduces the endpoints to those with the version that the request should go to, if there are any.
     static void keepOnlyWantedVersion(std::vector<std::shared_ptr<EndpointState>>&, const VersionLimits&);
 
     std::string m_zone;
     std::shared_ptr<const EndpointList> m_list {};
-    std::map<EndpointLife, std::shared_ptr<EndpointState>> m_endpoints {};
+    std::map<EndpointIncarnation, std::shared_ptr<EndpointState>> m_endpoints {};
     std::map<std::string, std::vector<std::shared_ptr<EndpointState>>> m_endpointsByService {};
     std::map<std::string, double> m_memoryTokens {}; // By service.
-    std::map<EndpointLife, LeavingMark> m_leaving {}; // A mark is never withdrawn while the incarnation is listed.
+    std::map<EndpointIncarnation, LeavingMark> m_leaving {}; // A mark is never withdrawn while the incarnation is listed.
     SteadyTime m_resendMarksUntil {};
-    EndpointRests m_rests {};
+    EndpointBackoffs m_rests {};
     EndpointLimits m_limits {};
     bool m_readsStore { true };
     SteadyTime m_firstSentAt {}; // When the first prompt was sent to any endpoint.
--- a/modules/balance/endpoint_health.cpp
+++ b/modules/balance/endpoint_health.cpp
@@ -37,7 +37,7 @@
         exclude(now);
 }
 
-void EndpointHealth::onTurnedAway(SteadyTime now)
+void EndpointHealth::onRequestRefused(SteadyTime now)
 {
     m_excludedUntil = std::max(m_excludedUntil, now + m_nextPause);
     m_nextPause = std::min(m_nextPause * 2, m_options.longestPause);
--- a/modules/balance/endpoint_health.h
+++ b/modules/balance/endpoint_health.h
@@ -28,7 +28,7 @@
     void onFailure(SteadyTime now);
     void onUnreachable(SteadyTime now);
     // The endpoint refused the request without executing it. Does not count as a failure.
-    void onTurnedAway(SteadyTime now);
+    void onRequestRefused(SteadyTime now);
     bool isUsable(SteadyTime now) const { return now >= m_excludedUntil; }
     double failures() const { return m_requests > 0 ? m_failures / m_requests : 0; }
 
--- a/modules/control/blocked_requests.cpp
+++ b/modules/control/blocked_requests.cpp
@@ -12,18 +12,18 @@
     // Between checks for pending writes; the interval at which nodes send each other their state.
     constexpr Milliseconds pollInterval { 250 };
 
-    nlohmann::json encode(const KeptRequest& blocked)
+    nlohmann::json encode(const StoredBlockedRequest& blocked)
     {
         return { { "team", blocked.request.team }, { "content", blocked.request.content }, { "round", blocked.round }, { "blockedAt", blocked.blockedAt } };
     }
 
     // Returns nullopt if the object is empty (its request was removed) or malformed.
-    std::optional<KeptRequest> decode(const nlohmann::json& value)
+    std::optional<StoredBlockedRequest> decode(const nlohmann::json& value)
     {
         auto isUnsignedNumber = [&](const char* member) { return value.is_object() && value.contains(member) && value[member].is_number_unsigned(); };
         if (!isUnsignedNumber("team") || !isUnsignedNumber("content") || !isUnsignedNumber("round") || !isUnsignedNumber("blockedAt"))
             return std::nullopt;
-        return KeptRequest { .request = { .team = value["team"], .content = value["content"] }, .round = value["round"], .blockedAt = value["blockedAt"] };
+        return StoredBlockedRequest { .request = { .team = value["team"], .content = value["content"] }, .round = value["round"], .blockedAt = value["blockedAt"] };
     }
 
 } // namespace
@@ -36,7 +36,7 @@
 {
 }
 
-void BlockedRequests::keep(const KeptRequest& blocked) { enqueue({ .blocked = blocked }); }
+void BlockedRequests::keep(const StoredBlockedRequest& blocked) { enqueue({ .blocked = blocked }); }
 
 void BlockedRequests::drop(const RequestDigest& request) { enqueue({ .blocked = { .request = request }, .isRemoval = true }); }
 
@@ -57,7 +57,7 @@
         if (!hasRead) {
             auto page = co_await listAll(m_context, m_store, StoreKind::BlockedRequests);
             hasRead = bool(page);
-            std::vector<KeptRequest> requests;
+            std::vector<StoredBlockedRequest> requests;
             if (page) {
                 for (const auto& it : page.value().objects) {
                     if (auto request = decode(it.value))
--- a/modules/control/blocked_requests.h
+++ b/modules/control/blocked_requests.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "modules/control/object_store.h"
-#include "modules/suspects/suspect_news.h"
+#include "modules/suspects/suspect_update.h"
 #include <asio/io_context.hpp>
 #include <deque>
 #include <functional>
@@ -13,12 +13,12 @@
 namespace Onyxnotch {
 
 // A blocked request as it is stored.
-struct KeptRequest {
+struct StoredBlockedRequest {
     RequestDigest request {};
     std::uint16_t round { 0 }; // How many times the request was blocked before; a higher round replaces a lower one.
     std::uint64_t blockedAt { 0 }; // Milliseconds since 1970, by the clock that the nodes agree on.
 
-    bool operator==(const KeptRequest&) const = default;
+    bool operator==(const StoredBlockedRequest&) const = default;
 };
 
 struct BlockedRequestsOptions {
@@ -31,7 +31,7 @@
 
 class BlockedRequests {
 public:
-    using Receiver = std::function<void(std::vector<KeptRequest>)>;
+    using Receiver = std::function<void(std::vector<StoredBlockedRequest>)>;
 
     // `receiver` is called once, soon after run() starts, with all requests found in the store; not called if there are none.
     BlockedRequests(asio::io_context&, ObjectStore&, Receiver receiver, const BlockedRequestsOptions& options = {});
@@ -39,13 +39,13 @@
     // Reads the stored requests once, then writes queued changes. Runs until the process ends.
     asio::awaitable<void> run();
     // Queues a blocked request to be stored.
-    void keep(const KeptRequest&);
+    void keep(const StoredBlockedRequest&);
     // Queues the removal of a request that is no longer blocked.
     void drop(const RequestDigest&);
 
 private:
     struct PendingWrite {
-        KeptRequest blocked {};
+        StoredBlockedRequest blocked {};
         bool isRemoval { false };
     };
 
--- a/modules/control/endpoint_history.h
+++ b/modules/control/endpoint_history.h
@@ -28,10 +28,10 @@
     void take(const nlohmann::json& values, std::uint64_t revision);
     // Applies a page that another node made with pageSince(). Returns false if the page is not newer than the entries here.
     // Errors: InvalidArgument if the page is malformed; Conflict if the entries would differ from the other node's afterwards, because it
-    // missed a change that this node has seen. After a Conflict all entries must be requested, see revisionToAsk().
+    // missed a change that this node has seen. After a Conflict all entries must be requested, see revisionToRequest().
     Result<bool> apply(const nlohmann::json& page);
     // The revision to pass to the next page request; 0 requests all entries.
-    std::uint64_t revisionToAsk() const { return m_needsAllEntries ? 0 : m_revision; }
+    std::uint64_t revisionToRequest() const { return m_needsAllEntries ? 0 : m_revision; }
     // A page for a node that has the entries as of `revision`; 0 stands for none. Contains all entries if the changes since then are not
     // known.
     nlohmann::json pageSince(std::uint64_t revision) const;
--- a/modules/control/list_change.cpp
+++ b/modules/control/list_change.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-EndpointListChange listChange(const EndpointList* before, const EndpointList& list)
+EndpointListChange endpointListChange(const EndpointList* before, const EndpointList& list)
 {
     EndpointListChange change;
     for (const auto& [id, endpoint] : list.endpoints) {
@@ -29,7 +29,7 @@
     return change;
 }
 
-void logListChange(const EndpointListChange& change, const EndpointList& list, const EndpointListOrigin& origin)
+void logEndpointListChange(const EndpointListChange& change, const EndpointList& list, const EndpointListOrigin& origin)
 {
     if (change == EndpointListChange {})
         return;
--- a/modules/control/list_change.h
+++ b/modules/control/list_change.h
@@ -16,7 +16,7 @@
 };
 
 // `before` is the previous list; null for the first one.
-EndpointListChange listChange(const EndpointList* before, const EndpointList&);
+EndpointListChange endpointListChange(const EndpointList* before, const EndpointList&);
 
 struct EndpointListOrigin {
     std::string_view source {}; // Where the list was received from: "store" or "peer".
@@ -26,6 +26,6 @@
 
 // Logs one line with counts. Nodes that read the store themselves also log a line for each endpoint; when every node of a fleet of 295 did
 // that, these lines were nearly the complete log, 120,000 lines in half a minute.
-void logListChange(const EndpointListChange&, const EndpointList&, const EndpointListOrigin&);
+void logEndpointListChange(const EndpointListChange&, const EndpointList&, const EndpointListOrigin&);
 
 } // namespace Onyxnotch
--- a/modules/control/node_summary.cpp
+++ b/modules/control/node_summary.cpp
@@ -22,26 +22,26 @@
     for (const auto* row : alive) {
         summary.peerHoldsDuties = summary.peerHoldsDuties || row->holdsDuties;
         if (row->leftDutiesFence > 0 && !row->holdsDuties)
-            summary.leftDuties.emplace(row->node, RelinquishedDuties { .life = row->lifetime, .fence = row->leftDutiesFence });
-        if (row->mayTakeDuties() && (row->node < owner.node || !owner.watchesStore || owner.leftDuties))
+            summary.relinquishedDuties.emplace(row->node, RelinquishedDuties { .life = row->lifetime, .fence = row->leftDutiesFence });
+        if (row->canTakeDuties() && (row->node < owner.node || !owner.watchesStore || owner.relinquishedDuties))
             summary.firstCandidate = false;
         if (row->watchesStore)
-            takeNewer(endpoints, { .version = row->endpointsRevision, .address = row->controlAddress, .zone = row->zone }, owner.zone);
-        takeNewer(configuration, { .version = row->configurationVersion, .address = row->controlAddress, .zone = row->zone }, owner.zone);
+            replaceIfNewer(endpoints, { .version = row->endpointsRevision, .address = row->controlAddress, .zone = row->zone }, owner.zone);
+        replaceIfNewer(configuration, { .version = row->configurationVersion, .address = row->controlAddress, .zone = row->zone }, owner.zone);
         for (const auto& [service, demand] : row->demand)
             summary.demand[service] += demand;
-        addNews(summary.versions, row->versions);
+        mergeUpdate(summary.versions, row->versions);
     }
     setSources(summary, endpoints, configuration);
     return summary;
 }
 
-NodeSummary summarizeGroup(const GroupSum& others, const SummaryOwner& owner)
+NodeSummary summarizeGroup(const GroupAggregate& others, const SummaryOwner& owner)
 {
     NodeSummary summary { .alivePeers = others.nodes, .peerHoldsDuties = !others.dutyHolders.empty(), .demand = others.demand, .versions = others.versions };
-    for (const auto& it : others.formerHolders)
-        summary.leftDuties.emplace(it.node, RelinquishedDuties { .life = it.lifetime, .fence = it.fence });
-    bool isOtherFirst = !others.firstCandidate.empty() && (others.firstCandidate < owner.node || !owner.watchesStore || owner.leftDuties);
+    for (const auto& it : others.formerDutyHolders)
+        summary.relinquishedDuties.emplace(it.node, RelinquishedDuties { .life = it.lifetime, .fence = it.fence });
+    bool isOtherFirst = !others.firstCandidate.empty() && (others.firstCandidate < owner.node || !owner.watchesStore || owner.relinquishedDuties);
     summary.firstCandidate = !isOtherFirst;
     setSources(summary, others.endpoints, others.configuration);
     return summary;
--- a/modules/control/node_summary.h
+++ b/modules/control/node_summary.h
@@ -1,7 +1,7 @@
 // State of this node and its peers that the request thread publishes to the control thread several times a second, as an immutable value.
 #pragma once
 
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 #include <atomic>
 #include <memory>
 #include <optional>
@@ -18,15 +18,15 @@
 };
 
 struct NodeSummary {
-    std::uint64_t trueMilliseconds { 0 }; // When the summary was made: milliseconds since 1970, by the clock that the nodes agree on.
+    std::uint64_t fleetTimeMilliseconds { 0 }; // When the summary was made: milliseconds since 1970, by the clock that the nodes agree on.
     SteadyTime madeAt {}; // The same by this node's steady clock.
     unsigned alivePeers { 0 };
     bool peerHoldsDuties { false }; // A peer holds the lease of the singleton duties.
     // By node: peers that report that they held the singleton duties and no longer do.
-    std::map<std::string, RelinquishedDuties> leftDuties {};
+    std::map<std::string, RelinquishedDuties> relinquishedDuties {};
     bool firstCandidate { true }; // This node is the first one, by name, that may take over the singleton duties.
     // Factor on how long a node that is not the first candidate waits before it takes over singleton duties that no node holds.
-    double candidatePatience { 1 };
+    double takeoverDelayFactor { 1 };
     bool watchesStore { true }; // This node should watch the store itself instead of relying on peers.
     double watchPauseFactor { 1 }; // Factor on the longest pause between store calls while the store does not answer.
     std::uint64_t peerEndpointsRevision { 0 }; // Highest store revision of the endpoint list among the peers that watch the store.
@@ -37,11 +37,11 @@
     // made, since the cost grows with nodes times windows times teams: some 60,000 counts at 300 nodes. Empty at other nodes.
     std::optional<WindowCounts> usage {};
     // Time after a usage window's end until its counts are final: each node reports its counts at least once a second.
-    Milliseconds usageSettles { 1500 };
+    Milliseconds usageSettleTime { 1500 };
     std::map<std::string, ServiceDemand> demand {}; // Of all nodes, by service.
-    VersionNews versions {}; // Reports of all nodes about the versions of services.
+    VersionUpdate versions {}; // Reports of all nodes about the versions of services.
     // Endpoints that announced, to this node or another one, that they are shutting down, while the endpoint list does not show it yet.
-    std::vector<EndpointLife> unlistedLeaving {};
+    std::vector<EndpointIncarnation> unlistedLeavingEndpoints {};
 };
 
 // The node for which a summary is made.
@@ -49,13 +49,13 @@
     std::string node {};
     std::string zone {};
     bool watchesStore { false }; // The node's own watch of the store works.
-    bool leftDuties { false }; // The node held the singleton duties in its current incarnation and no longer does.
+    bool relinquishedDuties { false }; // The node held the singleton duties in its current incarnation and no longer does.
 };
 
 // Summarizes the state rows that the other nodes sent. Members that only the node itself knows are left at their defaults. A pure function.
 NodeSummary summarizePeers(const std::vector<const PeerRow*>& alive, const SummaryOwner&);
 // The same, from the aggregate of all other nodes in a large fleet.
-NodeSummary summarizeGroup(const GroupSum& others, const SummaryOwner&);
+NodeSummary summarizeGroup(const GroupAggregate& others, const SummaryOwner&);
 
 // Holds the latest summary. Thread-safe.
 class NodeSummarySlot {
--- a/modules/control/peer_pages.cpp
+++ b/modules/control/peer_pages.cpp
@@ -33,16 +33,16 @@
 
     nlohmann::json decodeDocument(const AsyncHttpReply& reply)
     {
-        auto text = inflated(reply.body, maxDocumentSize);
+        auto text = decompressText(reply.body, maxDocumentSize);
         if (!text)
             return {};
-        auto document = nlohmann::json::parse(readableText(std::move(text.value())), nullptr, false);
+        auto document = nlohmann::json::parse(sanitizeUtf8(std::move(text.value())), nullptr, false);
         return document.is_discarded() ? nlohmann::json() : document;
     }
 
 } // namespace
 
-void PeerPageServer::setConfiguration(const std::string& text) { m_configuration = std::make_shared<const std::string>(deflated(text)); }
+void PeerPageServer::setConfiguration(const std::string& text) { m_configuration = std::make_shared<const std::string>(compressText(text)); }
 
 HttpResponse PeerPageServer::answer(std::string_view path, const EndpointHistory& history)
 {
@@ -56,7 +56,7 @@
     auto since = parseRevision(path.substr(endpointsPath.size()));
     auto [page, isNew] = m_pages.try_emplace(since);
     if (isNew)
-        page->second = deflated(history.pageSince(since).dump());
+        page->second = compressText(history.pageSince(since).dump());
     return compressedResponse(page->second);
 }
 
--- a/modules/control/store_follower.h
+++ b/modules/control/store_follower.h
@@ -24,7 +24,7 @@
     Milliseconds maxRetryDelay { 500 }; // Upper bound of the delay, and so of the time until the end of a store outage is noticed.
     // Before the next watch call, so that a burst of changes needs one call only; no change is needed sooner.
     Milliseconds pauseAfterChange { 100 };
-    Milliseconds idlePollInterval { 200 }; // Between checks of the condition set by setWanted() while that returns false.
+    Milliseconds idlePollInterval { 200 }; // Between checks of the condition set by setFollowCondition() while that returns false.
 };
 
 class StoreFollower {
@@ -37,7 +37,7 @@
 
     // While `wanted` returns false, the store is not watched after the first list, since other nodes send the changes. Must be called
     // before run().
-    void setWanted(std::function<bool()> wanted) { m_isWanted = std::move(wanted); }
+    void setFollowCondition(std::function<bool()> wanted) { m_isWanted = std::move(wanted); }
     // `factor` returns the factor by which `maxRetryDelay` is multiplied. Must be called before run().
     void setPauseFactor(std::function<double()> factor) { m_pauseFactor = std::move(factor); }
     // Runs until the process ends.
@@ -72,7 +72,7 @@
     Milliseconds m_nextRetryDelay;
     Milliseconds m_nextWatchWait;
     // Lines per second; limited because another client of the store may keep writing objects without a readable name.
-    LogBudget m_unnamedLogBudget { 1 };
+    LogRateLimiter m_unnamedLogBudget { 1 };
     std::minstd_rand m_random { std::random_device {}() };
 };
 
--- a/modules/control/watch_choice.h
+++ b/modules/control/watch_choice.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core/clock.h"
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 #include <algorithm>
 
 namespace Onyxnotch {
--- a/modules/duty/duty_runner.cpp
+++ b/modules/duty/duty_runner.cpp
@@ -2,7 +2,7 @@
 
 #include "core/log.h"
 #include "core/steady_timer.h"
-#include "modules/traffic/marked_list.h"
+#include "modules/traffic/draining_list.h"
 #include <asio/redirect_error.hpp>
 #include <asio/use_awaitable.hpp>
 #include <numeric>
@@ -27,7 +27,7 @@
     // The current time agreed between the nodes, in milliseconds: the summary's time plus the summary's age.
     std::uint64_t trueNow(const NodeSummary& summary)
     {
-        return summary.trueMilliseconds + static_cast<std::uint64_t>(toMilliseconds(steadyNow() - summary.madeAt).count());
+        return summary.fleetTimeMilliseconds + static_cast<std::uint64_t>(toMilliseconds(steadyNow() - summary.madeAt).count());
     }
 
 } // namespace
@@ -123,8 +123,8 @@
         if (m_noHolderSince == SteadyTime {})
             m_noHolderSince = now;
         // Only the first candidate reads the lease at first, which saves store reads by all other nodes. The others wait longer by the
-        // factor summary.candidatePatience, so that few of a large fleet read the lease when the wait ends.
-        auto candidateDelay = std::chrono::duration<double>(m_options.otherCandidatesDelay) * summary.candidatePatience;
+        // factor summary.takeoverDelayFactor, so that few of a large fleet read the lease when the wait ends.
+        auto candidateDelay = std::chrono::duration<double>(m_options.otherCandidatesDelay) * summary.takeoverDelayFactor;
         if (!summary.firstCandidate && now - m_noHolderSince < candidateDelay)
             co_return;
         auto sentAt = steadyNow();
@@ -143,9 +143,9 @@
             revision = read.value()->revision;
         }
         m_lease.observe(record, revision, sentAt, steadyNow());
-        auto left = record ? summary.leftDuties.find(record->holder) : summary.leftDuties.end();
-        if (left != summary.leftDuties.end() && canTakeReleasedLease())
-            m_lease.holderGaveUp(left->first, left->second.life, left->second.fence);
+        auto left = record ? summary.relinquishedDuties.find(record->holder) : summary.relinquishedDuties.end();
+        if (left != summary.relinquishedDuties.end() && canTakeReleasedLease())
+            m_lease.onHolderResigned(left->first, left->second.life, left->second.fence);
     }
     if (auto write = m_lease.next(steadyNow()))
         co_await writeLease(*write);
@@ -180,7 +180,7 @@
 
 asio::awaitable<bool> DutyRunner::writeCheckpoint(const DutyCheckpoint& checkpoint)
 {
-    auto write = m_lease.nextWithNote(dutyCheckpointToJson(checkpoint), steadyNow());
+    auto write = m_lease.nextRenewalWithNote(dutyCheckpointToJson(checkpoint), steadyNow());
     if (!write)
         co_return false;
     co_await writeLease(*write);
@@ -196,7 +196,7 @@
 {
     if (!summary.usage)
         co_return;
-    m_reports.setSettleTime(summary.usageSettles);
+    m_reports.setSettleTime(summary.usageSettleTime);
     if (auto report = m_reports.nextDue(*summary.usage, trueNow(summary))) {
         auto checkpoint = m_checkpoint;
         checkpoint.report = report;
@@ -222,7 +222,7 @@
 {
     auto configuration = m_view.configuration();
     // Endpoints that announced their own shutdown are replaced as early as those that the endpoint list marks as leaving.
-    auto endpoints = withLeaving(m_view.endpoints(), summary.unlistedLeaving);
+    auto endpoints = withDrainingEndpoints(m_view.endpoints(), summary.unlistedLeavingEndpoints);
     if (!configuration || !endpoints)
         co_return;
     auto orders = m_scaler.orders(*configuration, *endpoints, summary.demand, steadyNow());
--- a/modules/duty/duty_runner.h
+++ b/modules/duty/duty_runner.h
@@ -18,7 +18,7 @@
     EndpointScalerOptions scaler {};
     Milliseconds step { 250 }; // Interval between the steps of run().
     Milliseconds startDelay { 1000 }; // Wait after process start, so that the state of a node that already holds the duties can arrive.
-    // Wait of other nodes than the first candidate while nobody holds the duties, times NodeSummary::candidatePatience.
+    // Wait of other nodes than the first candidate while nobody holds the duties, times NodeSummary::takeoverDelayFactor.
     Milliseconds otherCandidatesDelay { 4000 };
     bool reportsUsage { true };
     bool ordersEndpoints { true };
@@ -33,7 +33,7 @@
     bool holds() const { return m_holdsDuties.load(); }
     // The fencing token under which this node last held the duties, 0 if it never did. Set only after the lease is lost or run() has
     // stopped, when no call made under the token is in flight.
-    std::uint64_t leftFence() const { return m_lastHeldFence.load(); }
+    std::uint64_t lastHeldFence() const { return m_lastHeldFence.load(); }
     // Stops performing the duties without releasing the lease. The lease then expires, or another node takes it over early. Early takeover
     // is open only to a node that has not held the duties recently, so that orders of two nodes can't alternate within one lease duration.
     void stop()
@@ -62,7 +62,7 @@
     TrafficView& m_view;
     NodeSummarySlot& m_summary;
     DutyOptions m_options;
-    LeaseMachine m_lease;
+    LeaseStateMachine m_lease;
     DutyCheckpoint m_checkpoint {}; // The checkpoint as last stored in the lease.
     UsageReports m_reports;
     EndpointScaler m_scaler;
--- a/modules/duty/endpoint_scaler.h
+++ b/modules/duty/endpoint_scaler.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "core/clock.h"
-#include "core/recent_most.h"
+#include "core/sliding_maximum.h"
 #include "modules/control/object_store.h"
 #include "modules/duty/reclaim_outlook.h"
 #include "modules/peers/peer_row.h"
@@ -108,8 +108,8 @@
 
     struct ServiceState {
         unsigned needed { 0 };
-        RecentMost recentNeeded {};
-        RecentMost recentReclaimableTargets {}; // Recent per-zone targets for reclaimable endpoints.
+        SlidingMaximum recentNeeded {};
+        SlidingMaximum recentReclaimableTargets {}; // Recent per-zone targets for reclaimable endpoints.
         unsigned reclaimableTarget { 0 }; // Current per-zone target for reclaimable endpoints; a lower target is approached in steps.
         SteadyTime lastLoweredAt {};
         unsigned slots { 1 }; // Slots of one endpoint, as listed.
@@ -150,7 +150,7 @@
     // Key: the order with `endpoints` set to 0, which stands for its service, zone and kind.
     std::map<ScaleOrder, AcceptedOrder> m_acceptedOrders {};
     // Listed reclaimable endpoints that are draining, with the time when this was first seen.
-    std::map<EndpointLife, SteadyTime> m_knownLeaving {};
+    std::map<EndpointIncarnation, SteadyTime> m_knownLeaving {};
     std::map<std::string, ScaleDecision> m_decisions {}; // Last decision with a changed outcome, by service.
     std::vector<ScaleDecision> m_newDecisions {};
 };
--- a/modules/duty/usage_reports.cpp
+++ b/modules/duty/usage_reports.cpp
@@ -16,14 +16,14 @@
     });
 }
 
-void UsageReports::restore(const std::optional<UsageReport>& report, std::uint64_t trueMilliseconds)
+void UsageReports::restore(const std::optional<UsageReport>& report, std::uint64_t fleetTimeMilliseconds)
 {
-    m_gatherEndsAt = trueMilliseconds + m_options.gatherMilliseconds;
+    m_gatherEndsAt = fleetTimeMilliseconds + m_options.gatherMilliseconds;
     m_pendingReport = report;
     m_lastDecidedWindow = report ? std::optional(report->window) : std::nullopt;
 }
 
-std::optional<UsageReport> UsageReports::nextDue(const WindowCounts& usage, std::uint64_t trueMilliseconds) const
+std::optional<UsageReport> UsageReports::nextDue(const WindowCounts& usage, std::uint64_t fleetTimeMilliseconds) const
 {
     if (m_pendingReport)
         return std::nullopt;
@@ -33,7 +33,7 @@
         auto end = (window + 1) * m_options.windowMilliseconds;
         auto latest = end + m_options.dueMilliseconds - m_options.dueMarginMilliseconds;
         auto decidedAt = std::max(end + m_options.settleMilliseconds, std::min(m_gatherEndsAt, latest));
-        return trueMilliseconds >= decidedAt ? std::optional(UsageReport { .window = window, .counts = counts }) : std::nullopt;
+        return fleetTimeMilliseconds >= decidedAt ? std::optional(UsageReport { .window = window, .counts = counts }) : std::nullopt;
     }
     return std::nullopt;
 }
--- a/modules/duty/usage_reports.h
+++ b/modules/duty/usage_reports.h
@@ -47,10 +47,10 @@
     // Overrides settleMilliseconds, for a fleet in which the counts take longer to arrive.
     void setSettleTime(Milliseconds settle) { m_options.settleMilliseconds = static_cast<std::uint64_t>(settle.count()); }
     // Resumes from the report stored in the lease by this holder or an earlier one. The report is sent again, because it is unknown whether
-    // it arrived. `trueMilliseconds` is the time agreed between the nodes, in milliseconds since 1970.
-    void restore(const std::optional<UsageReport>&, std::uint64_t trueMilliseconds);
+    // it arrived. `fleetTimeMilliseconds` is the time agreed between the nodes, in milliseconds since 1970.
+    void restore(const std::optional<UsageReport>&, std::uint64_t fleetTimeMilliseconds);
     // Returns the next report to decide. Empty if none is due, or while a decided report has not been sent.
-    std::optional<UsageReport> nextDue(const WindowCounts&, std::uint64_t trueMilliseconds) const;
+    std::optional<UsageReport> nextDue(const WindowCounts&, std::uint64_t fleetTimeMilliseconds) const;
     // To be called once the report is stored in the lease.
     void markDecided(const UsageReport&);
     const std::optional<UsageReport>& pendingReport() const { return m_pendingReport; }
--- a/modules/entry/entry_control.cpp
+++ b/modules/entry/entry_control.cpp
@@ -42,12 +42,12 @@
           context, *store, StoreKind::Endpoints, [this](const auto& objects, bool) { onEndpoints(objects); }, entryNode.m_options.follower)
     , duties(context, *store, *cloud, entryNode.m_view, entryNode.m_summary, dutyOptions(entryNode))
     , rollouts(context, *store, entryNode.m_view, entryNode.m_summary, entryNode.m_versionShares, rolloutPorts(), entryNode.m_options.rollouts)
-    , blockedRequests(context, *store, [this](std::vector<KeptRequest> kept) { passBlockedRequests(std::move(kept)); })
+    , blockedRequests(context, *store, [this](std::vector<StoredBlockedRequest> kept) { passBlockedRequests(std::move(kept)); })
     , controlServer(context, entryNode.m_options.control, [this](const HttpHead& head) { return answerPage(head); })
 {
 }
 
-RolloutKeeper::Ports EntryNode::ControlSide::rolloutPorts()
+RolloutManager::Ports EntryNode::ControlSide::rolloutPorts()
 {
     return { .decode = node.m_ports.decodeRollout, .encode = node.m_ports.encodeRolloutRecord, .holdsDuties = [this] { return duties.holds(); } };
 }
@@ -65,8 +65,8 @@
     if (!started)
         return started;
     auto isWatchWanted = [this] { return node.m_summary.get()->watchesStore; };
-    configurations.setWanted(isWatchWanted);
-    endpoints.setWanted(isWatchWanted);
+    configurations.setFollowCondition(isWatchWanted);
+    endpoints.setFollowCondition(isWatchWanted);
     auto pauseFactor = [this] { return node.m_summary.get()->watchPauseFactor; };
     configurations.setPauseFactor(pauseFactor);
     endpoints.setPauseFactor(pauseFactor);
@@ -77,7 +77,7 @@
         asio::co_spawn(context, duties.run(), asio::detached);
     asio::co_spawn(context, rollouts.run(), asio::detached);
     auto& requests = *node.m_requests;
-    requests.saveBlockedRequest = [this](const KeptRequest& kept) { asio::post(context, [this, kept] { blockedRequests.keep(kept); }); };
+    requests.saveBlockedRequest = [this](const StoredBlockedRequest& kept) { asio::post(context, [this, kept] { blockedRequests.keep(kept); }); };
     requests.deleteBlockedRequest = [this](const RequestDigest& request) { asio::post(context, [this, request] { blockedRequests.drop(request); }); };
     asio::co_spawn(context, blockedRequests.run(), asio::detached);
     asio::co_spawn(context, runPeriodicChecks(), asio::detached);
@@ -87,7 +87,7 @@
     return success();
 }
 
-void EntryNode::ControlSide::passBlockedRequests(std::vector<KeptRequest> kept)
+void EntryNode::ControlSide::passBlockedRequests(std::vector<StoredBlockedRequest> kept)
 {
     auto& requests = *node.m_requests;
     asio::post(requests.context, [&requests, kept = std::move(kept)] { requests.restoreBlockedRequests(kept); });
@@ -147,7 +147,7 @@
 {
     node.m_metrics.increment("onyxnotch_entry_refused_entries_total", {});
     if (refusedEntryLogBudget.take(steadyNow()))
-        logEvent(LogLevel::Warning, "endpoint_refused", { { "endpoint", readableText(id) }, { "error", readableText(error.message) } });
+        logEvent(LogLevel::Warning, "endpoint_refused", { { "endpoint", sanitizeUtf8(id) }, { "error", sanitizeUtf8(error.message) } });
 }
 
 void EntryNode::ControlSide::applyEndpoints(std::string_view source)
@@ -171,7 +171,7 @@
 {
     auto list = std::make_shared<const EndpointList>(registry.list());
     auto before = node.m_view.endpoints();
-    logListChange(listChange(before.get(), *list), *list, { .source = source, .revision = history.revision(), .readsStore = source == storeSource });
+    logEndpointListChange(endpointListChange(before.get(), *list), *list, { .source = source, .revision = history.revision(), .readsStore = source == storeSource });
     node.m_view.setEndpoints(std::move(list));
 }
 
@@ -181,7 +181,7 @@
         co_await sleepFor(context, controlPeriod);
         flushLog();
         node.m_controlState.holdsDuties = duties.holds();
-        node.m_controlState.leftDutiesFence = duties.leftFence();
+        node.m_controlState.leftDutiesFence = duties.lastHeldFence();
         node.m_controlState.watchesStore = configurations.connected() && endpoints.connected();
         if (registry.expire(endpoints.lastFailure(), steadyNow()))
             publishEndpoints(endpoints.connected() ? storeSource : peerSource);
@@ -231,7 +231,7 @@
     auto summary = node.m_summary.get();
     if (endpoints.connected() || summary->peerEndpointsRevision <= history.revision() || isAwaitingStoreList())
         co_return true;
-    auto since = history.revisionToAsk();
+    auto since = history.revisionToRequest();
     auto page = co_await pageClient.endpointsSince(summary->peerEndpointsAddress, since);
     if (page.is_null())
         co_return false;
--- a/modules/entry/entry_control.h
+++ b/modules/entry/entry_control.h
@@ -22,7 +22,7 @@
 struct EntryNode::ControlSide {
     ControlSide(EntryNode& entryNode);
     // Functions that the rollout keeper calls on this node.
-    RolloutKeeper::Ports rolloutPorts();
+    RolloutManager::Ports rolloutPorts();
 
     // Duty options in which the lease names the incarnation of this node (its start time).
     static DutyOptions dutyOptions(const EntryNode& entryNode);
@@ -30,7 +30,7 @@
     // Answers requests to the control address: metrics for monitoring, configuration and endpoints for other nodes.
     HttpResponse answerPage(const HttpHead& head);
     // Passes blocked requests that were read from the store to the request thread.
-    void passBlockedRequests(std::vector<KeptRequest> kept);
+    void passBlockedRequests(std::vector<StoredBlockedRequest> kept);
     void onConfigurations(const std::map<std::string, StoreObject>& objects);
     void applyConfiguration(const nlohmann::json& document, std::string_view source);
     void onEndpoints(const std::map<std::string, StoreObject>& objects);
@@ -89,14 +89,14 @@
     StoreFollower configurations;
     StoreFollower endpoints;
     DutyRunner duties;
-    RolloutKeeper rollouts;
+    RolloutManager rollouts;
     BlockedRequests blockedRequests;
     AsyncHttpServer controlServer;
     PeerPageServer pageServer {};
     PeerPageClient pageClient { context };
     EndpointHistory history {}; // Serves changes of endpoints to nodes that do not follow the store.
     std::map<std::string, DecodedEntry> decodedEntries {};
-    LogBudget refusedEntryLogBudget { detail::refusedLinesPerSecond };
+    LogRateLimiter refusedEntryLogBudget { detail::refusedLinesPerSecond };
     SteadyTime startedAt { steadyNow() };
     std::minstd_rand random { std::random_device {}() };
 };
--- a/modules/entry/entry_limits.cpp
+++ b/modules/entry/entry_limits.cpp
@@ -13,19 +13,19 @@
     , m_options(options)
     , m_lastRequestNumber(options.lifetime << 20U)
 {
-    forward.askCredit = [this](EndpointLife incarnation) { return acquireCredit(std::move(incarnation)); };
-    forward.returnCredit = [this](const EndpointLife& incarnation) { releaseCredit(incarnation); };
-    forward.tellLimits = [this] { scheduleUpdate(); };
+    forward.requestCreditFromRelay = [this](EndpointIncarnation incarnation) { return acquireCredit(std::move(incarnation)); };
+    forward.returnCredit = [this](const EndpointIncarnation& incarnation) { releaseCredit(incarnation); };
+    forward.notifyLimits = [this] { scheduleUpdate(); };
 }
 
 void EntryLimits::tick(bool usesRelays, double aliveShare, SteadyTime now)
 {
     m_usesRelays = usesRelays;
-    limits().setGivesCredits(!usesRelays || m_relay.isRelay(now));
-    limits().setSpeakingPart(aliveShare);
-    limits().setNewsTime(usesRelays ? m_options.relayUpdateTime : m_options.directUpdateTime);
-    auto isUsed = [this](const EndpointLife& incarnation) { return m_forward.endpoints.isExpectedToLive(incarnation); };
-    limits().forgetOld(m_forward.trueMilliseconds(), isUsed, now);
+    limits().setGrantsCredits(!usesRelays || m_relay.isRelay(now));
+    limits().setReachableShare(aliveShare);
+    limits().setPropagationTime(usesRelays ? m_options.relayUpdateTime : m_options.directUpdateTime);
+    auto isUsed = [this](const EndpointIncarnation& incarnation) { return m_forward.endpoints.isExpectedToServe(incarnation); };
+    limits().purgeExpired(m_forward.fleetTimeMilliseconds(), isUsed, now);
     m_forward.metrics.set("onyxnotch_entry_limited_endpoints", static_cast<double>(limits().limited()));
     ++m_ticks;
     if (!limits().isEmpty())
@@ -35,7 +35,7 @@
 void EntryLimits::sendInitialUpdate(const Address& address)
 {
     if (!limits().isEmpty())
-        m_exchange.sendTo({ address }, MessageType::LimitNews, buildUpdate(true, !m_usesRelays, steadyNow()));
+        m_exchange.sendTo({ address }, MessageType::LimitUpdate, buildUpdate(true, !m_usesRelays, steadyNow()));
 }
 
 void EntryLimits::scheduleUpdate(bool includeLimits)
@@ -58,13 +58,13 @@
         asio::detached);
 }
 
-LimitNews EntryLimits::buildUpdate(bool includeLimits, bool includeUses, SteadyTime now)
+LimitUpdate EntryLimits::buildUpdate(bool includeLimits, bool includeUses, SteadyTime now)
 {
-    LimitNews update { .node = m_options.node, .lifetime = m_options.lifetime };
+    LimitUpdate update { .node = m_options.node, .lifetime = m_options.lifetime };
     if (includeLimits)
-        update.words = limits().takeWordsTold();
+        update.words = limits().limitsToSend();
     if (includeUses)
-        update.uses = limits().takeUsesTold(now);
+        update.uses = limits().creditUsesToSend(now);
     return update;
 }
 
@@ -73,26 +73,26 @@
     auto now = steadyNow();
     m_lastUpdateAt = now;
     if (!m_usesRelays) {
-        m_exchange.sendTo(m_exchange.everyNode(), MessageType::LimitNews, buildUpdate(includeLimits, true, now));
+        m_exchange.sendTo(m_exchange.knownNodeAddresses(), MessageType::LimitUpdate, buildUpdate(includeLimits, true, now));
         return;
     }
     bool isRelay = m_relay.isRelay(now);
     if (isRelay)
-        m_exchange.sendTo(m_relay.otherRelays(now), MessageType::LimitNews, buildUpdate(includeLimits, true, now));
+        m_exchange.sendTo(m_relay.otherRelays(now), MessageType::LimitUpdate, buildUpdate(includeLimits, true, now));
     else if (includeLimits)
-        m_exchange.sendTo(m_relay.rowReceivers(), MessageType::LimitNews, buildUpdate(true, false, now));
+        m_exchange.sendTo(m_relay.rowReceivers(), MessageType::LimitUpdate, buildUpdate(true, false, now));
     if (isRelay && includeLimits)
-        m_exchange.sendTo(m_relay.members(now), MessageType::LimitNews, buildUpdate(true, false, now));
+        m_exchange.sendTo(m_relay.members(now), MessageType::LimitUpdate, buildUpdate(true, false, now));
 }
 
-void EntryLimits::onLimitUpdate(const LimitNews& update)
+void EntryLimits::onLimitUpdate(const LimitUpdate& update)
 {
-    bool changed = limits().onNews(update, m_forward.trueMilliseconds(), steadyNow());
+    bool changed = limits().onPeerUpdate(update, m_forward.fleetTimeMilliseconds(), steadyNow());
     if (changed && m_usesRelays && m_relay.isRelay(steadyNow()))
         scheduleUpdate();
 }
 
-Milliseconds EntryLimits::denialTime(const EndpointLife& incarnation, SteadyTime now)
+Milliseconds EntryLimits::denialTime(const EndpointIncarnation& incarnation, SteadyTime now)
 {
     constexpr double minimumSpread = 0.5;
     constexpr double maximumSpread = 1.5;
@@ -103,17 +103,17 @@
     return std::clamp(std::max(randomizedInterval, untilNextCredit), m_options.minimumDenialTime, m_options.maximumDenialTime);
 }
 
-void EntryLimits::onCreditRequest(const CreditAsk& creditRequest, const Address& from)
+void EntryLimits::onCreditRequest(const CreditRequest& creditRequest, const Address& from)
 {
     auto now = steadyNow();
-    if (limits().hear(creditRequest.word, now))
+    if (limits().onAdvertisedLimit(creditRequest.word, now))
         scheduleUpdate();
     const auto& incarnation = creditRequest.word.endpoint;
-    CreditAnswer answer { .number = creditRequest.number, .endpoint = incarnation, .isGiven = limits().take(incarnation, creditRequest.asks, now) };
-    if (answer.isGiven)
+    CreditAnswer answer { .number = creditRequest.number, .endpoint = incarnation, .isGranted = limits().take(incarnation, creditRequest.asks, now) };
+    if (answer.isGranted)
         scheduleUpdate(false);
     else
-        answer.askAgainMilliseconds = static_cast<std::uint32_t>(denialTime(incarnation, now).count());
+        answer.retryAfterMilliseconds = static_cast<std::uint32_t>(denialTime(incarnation, now).count());
     m_exchange.sendTo({ from }, MessageType::CreditAnswer, answer);
 }
 
@@ -126,25 +126,25 @@
         return;
     }
     // The wait for this answer has timed out: return the unused credit.
-    if (answer.isGiven)
+    if (answer.isGranted)
         m_exchange.sendTo({ from }, MessageType::CreditReturn, CreditReturn { .endpoint = answer.endpoint });
 }
 
-void EntryLimits::onCreditReturn(const CreditReturn& returned) { limits().giveBack(returned.endpoint, steadyNow()); }
+void EntryLimits::onCreditReturn(const CreditReturn& returned) { limits().refundCredit(returned.endpoint, steadyNow()); }
 
-asio::awaitable<bool> EntryLimits::acquireCredit(EndpointLife incarnation)
+asio::awaitable<bool> EntryLimits::acquireCredit(EndpointIncarnation incarnation)
 {
-    if (limits().givesCredits()) {
-        bool isGiven = limits().take(incarnation, 1, steadyNow());
-        if (isGiven)
+    if (limits().grantsCredits()) {
+        bool isGranted = limits().take(incarnation, 1, steadyNow());
+        if (isGranted)
             scheduleUpdate(false);
-        co_return isGiven;
+        co_return isGranted;
     }
-    bool isGiven = co_await acquireFromRelay(incarnation);
-    co_return isGiven;
+    bool isGranted = co_await acquireFromRelay(incarnation);
+    co_return isGranted;
 }
 
-asio::awaitable<bool> EntryLimits::acquireFromRelay(EndpointLife incarnation)
+asio::awaitable<bool> EntryLimits::acquireFromRelay(EndpointIncarnation incarnation)
 {
     auto now = steadyNow();
     ++m_unreportedRequests[incarnation];
@@ -152,11 +152,11 @@
     auto limit = limits().word(incarnation);
     if (!limit || relays.empty() || limits().creditAt(incarnation, now) > now)
         co_return false;
-    CreditAsk creditRequest { .number = ++m_lastRequestNumber, .word = *limit, .asks = m_unreportedRequests[incarnation] };
+    CreditRequest creditRequest { .number = ++m_lastRequestNumber, .word = *limit, .asks = m_unreportedRequests[incarnation] };
     m_unreportedRequests.erase(incarnation);
     auto pending = std::make_shared<PendingRequest>(m_context);
     m_pendingRequests[creditRequest.number] = pending;
-    m_exchange.sendTo({ relays[m_unansweredCount % relays.size()] }, MessageType::CreditAsk, creditRequest);
+    m_exchange.sendTo({ relays[m_unansweredCount % relays.size()] }, MessageType::CreditRequest, creditRequest);
     pending->timer.expires_after(m_options.answerTimeout);
     asio::error_code ec;
     co_await pending->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -164,18 +164,18 @@
     if (!pending->answer) {
         ++m_unansweredCount;
         m_forward.metrics.increment("onyxnotch_entry_credits_total", { { "result", "unanswered" } });
-        limits().noteDenied(incarnation, steadyNow() + m_options.unansweredBackoff);
+        limits().onCreditDenied(incarnation, steadyNow() + m_options.unansweredBackoff);
         co_return false;
     }
-    if (!pending->answer->isGiven)
-        limits().noteDenied(incarnation, steadyNow() + std::min(m_options.maximumDenialTime, Milliseconds(pending->answer->askAgainMilliseconds)));
-    co_return pending->answer->isGiven;
+    if (!pending->answer->isGranted)
+        limits().onCreditDenied(incarnation, steadyNow() + std::min(m_options.maximumDenialTime, Milliseconds(pending->answer->retryAfterMilliseconds)));
+    co_return pending->answer->isGranted;
 }
 
-void EntryLimits::releaseCredit(const EndpointLife& incarnation)
+void EntryLimits::releaseCredit(const EndpointIncarnation& incarnation)
 {
-    if (limits().givesCredits()) {
-        limits().giveBack(incarnation, steadyNow());
+    if (limits().grantsCredits()) {
+        limits().refundCredit(incarnation, steadyNow());
         return;
     }
     auto relays = m_relay.rowReceivers();
--- a/modules/entry/entry_limits.h
+++ b/modules/entry/entry_limits.h
@@ -40,14 +40,14 @@
     void sendInitialUpdate(const Address&);
     // Sends the known limits to the other nodes, at once or when the minimum time since the last update is over.
     void scheduleUpdate() { scheduleUpdate(true); }
-    void onLimitUpdate(const LimitNews&);
-    void onCreditRequest(const CreditAsk&, const Address& from);
+    void onLimitUpdate(const LimitUpdate&);
+    void onCreditRequest(const CreditRequest&, const Address& from);
     void onCreditAnswer(const CreditAnswer&, const Address& from);
     void onCreditReturn(const CreditReturn&);
     // Returns whether one request may be sent to the endpoint; asks a relay node if this node does not grant credits.
-    asio::awaitable<bool> acquireCredit(EndpointLife);
+    asio::awaitable<bool> acquireCredit(EndpointIncarnation);
     // Returns the credit of a request that was never sent.
-    void releaseCredit(const EndpointLife&);
+    void releaseCredit(const EndpointIncarnation&);
 
 private:
     // A credit request that was sent to a relay node and is not answered yet.
@@ -65,11 +65,11 @@
     void scheduleUpdate(bool includeLimits);
     void sendUpdate(bool includeLimits);
     // Builds an update with the limits known to this node, the credits that it granted, or both.
-    LimitNews buildUpdate(bool includeLimits, bool includeUses, SteadyTime now);
+    LimitUpdate buildUpdate(bool includeLimits, bool includeUses, SteadyTime now);
     // Requests a credit from a relay node and waits for the answer; false if it is denied or not answered in time.
-    asio::awaitable<bool> acquireFromRelay(EndpointLife);
+    asio::awaitable<bool> acquireFromRelay(EndpointIncarnation);
     // How long a node whose credit request is denied has to wait before the next one; randomized, so that nodes do not retry together.
-    Milliseconds denialTime(const EndpointLife&, SteadyTime now);
+    Milliseconds denialTime(const EndpointIncarnation&, SteadyTime now);
 
     asio::io_context& m_context;
     ForwardContext& m_forward;
@@ -85,7 +85,7 @@
     // Credit requests that were not answered, so far. Selects the relay node to ask, so that each failure moves on to the next one.
     std::size_t m_unansweredCount { 0 };
     // By endpoint: requests that needed a credit since the last credit request was sent.
-    std::map<EndpointLife, std::uint32_t> m_unreportedRequests {};
+    std::map<EndpointIncarnation, std::uint32_t> m_unreportedRequests {};
     std::map<std::uint64_t, std::shared_ptr<PendingRequest>> m_pendingRequests {};
 };
 
--- a/modules/entry/entry_node.cpp
+++ b/modules/entry/entry_node.cpp
@@ -45,8 +45,8 @@
         // These options are read on the request thread only, so no lock is needed.
         m_options.grace = options.grace;
         m_requests->forward.retries.setOptions(options.retries);
-        m_requests->forward.options.maximumCallers = options.forward.maximumCallers;
-        m_requests->forward.heldBodies.setMost(options.forward.maximumHeldBytes);
+        m_requests->forward.options.maximumClients = options.forward.maximumClients;
+        m_requests->forward.bodyMemory.setMost(options.forward.maximumBufferedBodyBytes);
     });
 }
 
@@ -60,7 +60,7 @@
 
 void EntryNode::wait() { m_requestThread.join(); }
 
-Address EntryNode::callersAddress() const { return m_requests->server.address(); }
+Address EntryNode::clientsAddress() const { return m_requests->server.address(); }
 
 Address EntryNode::readinessAddress() const { return m_requests->readiness.address(); }
 
--- a/modules/entry/entry_node.h
+++ b/modules/entry/entry_node.h
@@ -8,7 +8,7 @@
 #include "modules/duty/duty_runner.h"
 #include "modules/forward/forward_server.h"
 #include "modules/peers/peer_exchange.h"
-#include "modules/rollout/rollout_keeper.h"
+#include "modules/rollout/rollout_manager.h"
 #include <nlohmann/json_fwd.hpp>
 #include <thread>
 
@@ -37,7 +37,7 @@
     StoreFollowerOptions follower {};
     EndpointRegistryOptions registry {};
     DutyOptions duties {};
-    RolloutKeeperOptions rollouts {};
+    RolloutManagerOptions rollouts {};
 };
 
 // Functions of the platform adapter: they create the connections to store and cloud, and decode and encode stored objects.
@@ -65,7 +65,7 @@
     void stop();
     // Blocks until the drain has ended.
     void wait();
-    Address callersAddress() const;
+    Address clientsAddress() const;
     Address readinessAddress() const;
     Address controlAddress() const;
     Address gossipAddress() const;
--- a/modules/entry/entry_requests.cpp
+++ b/modules/entry/entry_requests.cpp
@@ -19,10 +19,10 @@
     , exchange(
           context, peers, relay, { .listen = entryOptions.gossip, .seeds = entryOptions.seeds, .zone = entryOptions.zone },
           { .row = [this](const PeerRow& row, bool isNewIncarnation) { onRow(row, isNewIncarnation); },
-              .prefill = [this](const PrefillNotice& notice) { forward.endpoints.notePeersPrefill(notice.endpoint, notice.tokens, steadyNow()); },
-              .suspects = [this](const SuspectNews& update) { onSuspectUpdate(update); },
-              .limits = [this](const LimitNews& update) { limits.onLimitUpdate(update); },
-              .creditAsk = [this](const CreditAsk& creditRequest, const Address& from) { limits.onCreditRequest(creditRequest, from); },
+              .prefill = [this](const PrefillNotice& notice) { forward.endpoints.onPeerPrefill(notice.endpoint, notice.tokens, steadyNow()); },
+              .suspects = [this](const SuspectUpdate& update) { onSuspectUpdate(update); },
+              .limits = [this](const LimitUpdate& update) { limits.onLimitUpdate(update); },
+              .creditAsk = [this](const CreditRequest& creditRequest, const Address& from) { limits.onCreditRequest(creditRequest, from); },
               .creditAnswer = [this](const CreditAnswer& answer, const Address& from) { limits.onCreditAnswer(answer, from); },
               .creditReturn = [this](const CreditReturn& returned) { limits.onCreditReturn(returned); } })
     , readiness(context, entryOptions.readiness, [this](const HttpHead&) { return answerReadiness(); })
@@ -31,8 +31,8 @@
     , ownClockDifference(static_cast<std::int64_t>(lifetime) - steadyMilliseconds())
 {
     forward.clockDifference = ownClockDifference;
-    forward.tellSuspects = [this] { scheduleSuspectUpdate(); };
-    forward.tellLongPrefill = [this](const EndpointLife& endpoint, double tokens) { exchange.send(PrefillNotice { .endpoint = endpoint, .tokens = tokens }); };
+    forward.notifySuspects = [this] { scheduleSuspectUpdate(); };
+    forward.notifyLongPrefill = [this](const EndpointIncarnation& endpoint, double tokens) { exchange.send(PrefillNotice { .endpoint = endpoint, .tokens = tokens }); };
 }
 
 Status EntryNode::RequestSide::start()
@@ -50,17 +50,17 @@
 
 void EntryNode::RequestSide::onRow(const PeerRow& row, bool isNewIncarnation)
 {
-    forward.teams.onPeer(row.node, row.lifetime, Milliseconds(row.ageMilliseconds), row.teamTotals, steadyNow());
+    forward.teams.onPeerTotals(row.node, row.lifetime, Milliseconds(row.ageMilliseconds), row.teamTotals, steadyNow());
     // The started node may not have received this node's state yet, and uses a smaller share of the team limits until it has.
     if (isNewIncarnation)
-        forward.endpoints.tellMarksAgain(steadyNow());
+        forward.endpoints.resendLeavingMarks(steadyNow());
     if (isNewIncarnation && !usesRelays())
         exchange.sendTo(row.gossipAddress, ownRow());
     if (isNewIncarnation && (!usesRelays() || relay.isRelay(steadyNow())))
         limits.sendInitialUpdate(row.gossipAddress);
     for (const auto& it : row.leavingEndpoints)
         forward.endpoints.markLeaving(it, steadyNow());
-    forward.suspects.onNews(row.suspects, steadyNow());
+    forward.suspects.onPeerUpdate(row.suspects, steadyNow());
 }
 
 asio::awaitable<void> EntryNode::RequestSide::gossip()
@@ -78,16 +78,16 @@
 {
     auto configuration = view.configuration();
     if (configuration)
-        forward.takeEndpoints(view.endpoints(), *configuration, now);
+        forward.applyEndpointList(view.endpoints(), *configuration, now);
     forward.endpoints.setReadsStore(control.watchesStore);
-    peers.forgetOld(now);
+    peers.purgeExpired(now);
     updateExpectedNodes();
     forward.demand.tick(seconds);
     detectSuspension();
     reportBlockedRequests();
     forward.metrics.set("onyxnotch_entry_resting_endpoints", static_cast<double>(forward.endpoints.resting(now)));
-    forward.metrics.set("onyxnotch_entry_held_bytes", static_cast<double>(forward.heldBodies.held()));
-    if (auto leftOut = forward.answeredLines.takeLeftOut() + forward.failedLines.takeLeftOut())
+    forward.metrics.set("onyxnotch_entry_held_bytes", static_cast<double>(forward.bodyMemory.held()));
+    if (auto leftOut = forward.succeededRequestLines.takeSuppressedCount() + forward.failedRequestLines.takeSuppressedCount())
         logEvent(LogLevel::Info, "request_lines_left_out", { { "count", leftOut } });
     ++ticks;
     if (usesRelays())
@@ -130,22 +130,22 @@
     relay.setOwnRow(row, now);
     exchange.sendToRelays(row);
     if (relay.isRelay(now)) {
-        exchange.send(MessageType::ZoneSum, relay.zoneTelling(now));
-        if (relay.isFleetTellingDue(now))
-            exchange.send(MessageType::FleetSum, relay.fleetTelling(now));
+        exchange.send(MessageType::ZoneAggregate, relay.outgoingZoneAggregate(now));
+        if (relay.isFleetAggregateDue(now))
+            exchange.send(MessageType::FleetAggregate, relay.outgoingFleetAggregate(now));
     }
     auto received = relay.others(now).value_or(FleetRelay::Others {});
     const auto& others = received.sum;
     if (others.nodes > 0) {
         setNodes(others.nodes + 1);
-        forward.teams.onFleet(others.nodes, others.silentNodes, others.teamTotals, received.heardAt);
+        forward.teams.onFleetTotals(others.nodes, others.silentNodes, others.teamTotals, received.receivedAt);
         forward.endpoints.setPeerLoads(loadsByIncarnation(others.loads), now);
     }
     limits.tick(true, (others.nodes + 1.0) / (others.nodes + others.silentNodes + 1.0), now);
     fleetDutyHolders = others.dutyHolders;
     for (const auto& it : others.leavingEndpoints)
         forward.endpoints.markLeaving(it, steadyNow());
-    forward.suspects.onNews(others.suspects, steadyNow());
+    forward.suspects.onPeerUpdate(others.suspects, steadyNow());
     forward.clockDifference = relay.clockDifference(ownClockDifference, now);
     summary.set(std::make_shared<const NodeSummary>(summarize(others, now)));
 }
@@ -157,14 +157,14 @@
     constexpr int cautiousPeriods = 10;
     constexpr int silentPeriods = 6;
     peers.setSilentAfter(options.gossipPeriod * silentPeriods);
-    forward.endpoints.setPeersStaleFor(options.gossipPeriod * stalePeriods);
+    forward.endpoints.setPeerLoadAge(options.gossipPeriod * stalePeriods);
     forward.teams.setFreshFor(options.gossipPeriod * freshPeriods);
-    forward.teams.setCautiousFor(options.gossipPeriod * cautiousPeriods);
+    forward.teams.setStartupPhase(options.gossipPeriod * cautiousPeriods);
 }
 
-std::map<EndpointLife, EndpointLoadReport> EntryNode::RequestSide::loadsByIncarnation(const std::map<ShortName, SummedLoad>& loads) const
+std::map<EndpointIncarnation, EndpointLoadReport> EntryNode::RequestSide::loadsByIncarnation(const std::map<ShortName, AggregatedLoad>& loads) const
 {
-    std::map<EndpointLife, EndpointLoadReport> listedLoads;
+    std::map<EndpointIncarnation, EndpointLoadReport> listedLoads;
     auto list = view.endpoints();
     if (!list)
         return listedLoads;
@@ -172,7 +172,7 @@
         auto incarnation = endpoint.life();
         auto it = loads.find(shortNameOf(incarnation));
         if (it != loads.end())
-            listedLoads[incarnation] = { .endpoint = incarnation, .inFlight = static_cast<double>(it->second.inFlight), .waitingTokens = it->second.waitingUnits * SummedLoad::tokensPerUnit };
+            listedLoads[incarnation] = { .endpoint = incarnation, .inFlight = static_cast<double>(it->second.inFlight), .waitingTokens = it->second.waitingUnits * AggregatedLoad::tokensPerUnit };
     }
     return listedLoads;
 }
@@ -187,7 +187,7 @@
     if (usesRelays())
         exchangeThroughRelays(steadyNow());
     else
-        exchange.greetAll(ownRow());
+        exchange.sendToAllKnown(ownRow());
 }
 
 void EntryNode::RequestSide::updateExpectedNodes()
@@ -203,16 +203,16 @@
     constexpr double freshRows = 3;
     // After this number of rows a node has received a row of all other nodes but about three in ten thousand.
     constexpr double cautiousRows = 8;
-    auto receiveInterval = static_cast<double>(options.gossipPeriod.count()) / exchange.heardPart();
+    auto receiveInterval = static_cast<double>(options.gossipPeriod.count()) / exchange.receivedFraction();
     peers.setSilentAfter(Milliseconds(static_cast<std::int64_t>(receiveInterval * silentRows)));
-    forward.endpoints.setPeersStaleFor(Milliseconds(static_cast<std::int64_t>(receiveInterval)));
+    forward.endpoints.setPeerLoadAge(Milliseconds(static_cast<std::int64_t>(receiveInterval)));
     forward.teams.setFreshFor(Milliseconds(static_cast<std::int64_t>(receiveInterval * freshRows)));
-    forward.teams.setCautiousFor(Milliseconds(static_cast<std::int64_t>(receiveInterval * cautiousRows)));
+    forward.teams.setStartupPhase(Milliseconds(static_cast<std::int64_t>(receiveInterval * cautiousRows)));
 }
 
-std::map<EndpointLife, EndpointLoadReport> EntryNode::RequestSide::sumLoads(const std::vector<const PeerRow*>& rows)
+std::map<EndpointIncarnation, EndpointLoadReport> EntryNode::RequestSide::sumLoads(const std::vector<const PeerRow*>& rows)
 {
-    std::map<EndpointLife, EndpointLoadReport> sums;
+    std::map<EndpointIncarnation, EndpointLoadReport> sums;
     for (const auto* row : rows) {
         for (const auto& it : row->loads) {
             auto& sum = sums[it.endpoint];
@@ -230,7 +230,7 @@
     fullReportsSent = holder == lastUsageHolder ? fullReportsSent + 1 : 0;
     lastUsageHolder = holder;
     bool includeAllWindows = holder.empty() || fullReportsSent < fullUsageReports;
-    auto windows = includeAllWindows ? forward.usage.windows() : forward.usage.openSince(forward.trueMilliseconds() - usageResendMilliseconds);
+    auto windows = includeAllWindows ? forward.usage.windows() : forward.usage.openSince(forward.fleetTimeMilliseconds() - usageResendMilliseconds);
     if (!windows.empty())
         exchange.send(UsageNotice { .node = options.node, .lifetime = lifetime, .windows = std::move(windows) }, holders);
 }
@@ -252,7 +252,7 @@
         .hasDuties = options.duties.reportsUsage || options.duties.ordersEndpoints,
         .holdsDuties = control.holdsDuties,
         .leftDutiesFence = control.leftDutiesFence,
-        .trueMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds() + ownClockDifference),
+        .fleetTimeMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds() + ownClockDifference),
         .configurationVersion = configuration ? configuration->version() : 0,
         .watchesStore = control.watchesStore,
         .endpointsRevision = control.endpointsRevision,
@@ -265,19 +265,19 @@
     };
 }
 
-VersionNews EntryNode::RequestSide::ownVersionUpdate() const
+VersionUpdate EntryNode::RequestSide::ownVersionUpdate() const
 {
     if (!options.rollouts.enabled)
         return {};
     return { .trials = forward.versions.ownTrials(), .shares = *versionShares.get(), .stopped = forward.versions.stopped() };
 }
 
-void EntryNode::RequestSide::applyVersionUpdate(VersionNews others)
+void EntryNode::RequestSide::applyVersionUpdate(VersionUpdate others)
 {
     if (!options.rollouts.enabled)
         return;
-    addNews(others, { .shares = *versionShares.get() });
-    forward.versions.onNews(others);
+    mergeUpdate(others, { .shares = *versionShares.get() });
+    forward.versions.onPeerUpdate(others);
     for (const auto& it : forward.versions.takeNewlyStopped())
         logEvent(LogLevel::Warning, "version_stopped", { { "service", it.service }, { "version", it.version }, { "ordered_at", it.orderedAt } });
 }
@@ -315,14 +315,14 @@
     if (!usesRelays())
         exchange.send(forward.suspects.news(now));
     else
-        exchange.sendToRelays(relay.isRelay(now) ? forward.suspects.relayedNews(now) : forward.suspects.news(now));
+        exchange.sendToRelays(relay.isRelay(now) ? forward.suspects.relayedUpdate(now) : forward.suspects.news(now));
 }
 
-void EntryNode::RequestSide::onSuspectUpdate(const SuspectNews& update)
+void EntryNode::RequestSide::onSuspectUpdate(const SuspectUpdate& update)
 {
     auto now = steadyNow();
-    forward.suspects.onNews(update, now);
-    bool relays = forward.suspects.takeWorthRelaying() && usesRelays() && relay.isRelay(now);
+    forward.suspects.onPeerUpdate(update, now);
+    bool relays = forward.suspects.takeRelayDue() && usesRelays() && relay.isRelay(now);
     if (relays)
         scheduleSuspectUpdate();
 }
@@ -331,9 +331,9 @@
 {
     forward.metrics.set("onyxnotch_entry_blocked_requests", static_cast<double>(forward.suspects.blockedRequests()));
     for (const auto& it : forward.suspects.takeNewlyBlocked()) {
-        logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", forward.suspects.endedLives(it.request) }, { "round", static_cast<unsigned>(it.round) } });
+        logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", forward.suspects.endedIncarnations(it.request) }, { "round", static_cast<unsigned>(it.round) } });
         if (saveBlockedRequest)
-            saveBlockedRequest({ .request = it.request, .round = it.round, .blockedAt = forward.trueMilliseconds() });
+            saveBlockedRequest({ .request = it.request, .round = it.round, .blockedAt = forward.fleetTimeMilliseconds() });
     }
     for (const auto& it : forward.suspects.takeNewlyCleared()) {
         logEvent(LogLevel::Info, "request_cleared", { { "digest", it.text() } });
@@ -342,21 +342,21 @@
     }
 }
 
-void EntryNode::RequestSide::restoreBlockedRequests(const std::vector<KeptRequest>& kept)
+void EntryNode::RequestSide::restoreBlockedRequests(const std::vector<StoredBlockedRequest>& kept)
 {
-    SuspectNews update;
-    auto now = forward.trueMilliseconds();
+    SuspectUpdate update;
+    auto now = forward.fleetTimeMilliseconds();
     for (const auto& it : kept) {
         auto age = now > it.blockedAt ? (now - it.blockedAt) / 1000 : 0;
         update.blocked.push_back({ .request = it.request, .round = it.round, .ageSeconds = static_cast<std::uint32_t>(age) });
     }
-    forward.suspects.onNews(update, steadyNow());
+    forward.suspects.onPeerUpdate(update, steadyNow());
     logEvent(LogLevel::Info, "blocked_requests_read", { { "count", update.blocked.size() } });
 }
 
 SummaryOwner EntryNode::RequestSide::summaryOwner() const
 {
-    return { .node = options.node, .zone = options.zone, .watchesStore = control.watchesStore, .leftDuties = control.leftDutiesFence > 0 };
+    return { .node = options.node, .zone = options.zone, .watchesStore = control.watchesStore, .relinquishedDuties = control.leftDutiesFence > 0 };
 }
 
 NodeSummary EntryNode::RequestSide::summarize(const std::vector<const PeerRow*>& alive, SteadyTime now)
@@ -368,13 +368,13 @@
     return result;
 }
 
-NodeSummary EntryNode::RequestSide::summarize(const GroupSum& others, SteadyTime now)
+NodeSummary EntryNode::RequestSide::summarize(const GroupAggregate& others, SteadyTime now)
 {
     auto result = summarizeGroup(others, summaryOwner());
     result.watchesStore = watchDecision.decide(others.watchers, std::max(others.nodes + 1, listedNodes), others.nodes > 0, now);
     result.watchPauseFactor = watchDecision.pauseFactor(others.nodes + 1);
-    result.usageSettles = relayedUsageSettleTime;
-    result.candidatePatience = watchDecision.pauseFactor(others.nodes + 1);
+    result.usageSettleTime = relayedUsageSettleTime;
+    result.takeoverDelayFactor = watchDecision.pauseFactor(others.nodes + 1);
     // The first candidate is not known before messages of at least half of the fleet were received.
     result.firstCandidate = result.firstCandidate && 2 * (others.nodes + 1) >= listedNodes;
     addOwnState(result, now);
@@ -393,11 +393,11 @@
 
 void EntryNode::RequestSide::addOwnState(NodeSummary& result, SteadyTime now)
 {
-    result.trueMilliseconds = forward.trueMilliseconds();
+    result.fleetTimeMilliseconds = forward.fleetTimeMilliseconds();
     result.madeAt = now;
-    result.unlistedLeaving = forward.endpoints.unlistedLeavingMarks();
+    result.unlistedLeavingEndpoints = forward.endpoints.leavingMarksMissingInList();
     applyVersionUpdate(result.versions);
-    addTrials(result.versions.trials, forward.versions.ownTrials());
+    mergeTrials(result.versions.trials, forward.versions.ownTrials());
     result.versions.stopped = forward.versions.stopped();
     if (control.holdsDuties)
         result.usage = fleetUsage();
--- a/modules/entry/entry_requests.h
+++ b/modules/entry/entry_requests.h
@@ -67,7 +67,7 @@
     // every second period by each relay node of the zone, so received data may be that old.
     void adaptRelayTimeouts();
     // Looks up the short names in the list of endpoints; loads of unlisted endpoints are left out.
-    std::map<EndpointLife, EndpointLoadReport> loadsByIncarnation(const std::map<ShortName, SummedLoad>& loads) const;
+    std::map<EndpointIncarnation, EndpointLoadReport> loadsByIncarnation(const std::map<ShortName, AggregatedLoad>& loads) const;
 
     // Receives the other nodes that the store lists. Entries of nodes that were removed for good stay in the store, so more nodes may be
     // expected than exist. This only prolongs the time after a start in which this node uses a reduced share of the team limits.
@@ -79,13 +79,13 @@
 
     // Sets the times after which peer data is stale, without relay nodes, from how often a node receives the rows of another one.
     void adaptDirectTimeouts();
-    static std::map<EndpointLife, EndpointLoadReport> sumLoads(const std::vector<const PeerRow*>& rows);
+    static std::map<EndpointIncarnation, EndpointLoadReport> sumLoads(const std::vector<const PeerRow*>& rows);
     void sendUsage();
     PeerRow ownRow();
-    VersionNews ownVersionUpdate() const;
+    VersionUpdate ownVersionUpdate() const;
 
     // Applies what the fleet knows of service versions that run side by side; it decides how many requests this node sends to each.
-    void applyVersionUpdate(VersionNews others);
+    void applyVersionUpdate(VersionUpdate others);
 
     // Counts and logs a suspension of the instance since the last tick. All stored times have aged by its duration; the log line explains
     // the effects.
@@ -94,14 +94,14 @@
     // Endpoints have crashed while they ran a request: sends the suspected requests within 20 ms instead of with the next row.
     void scheduleSuspectUpdate();
     void sendSuspectUpdate();
-    void onSuspectUpdate(const SuspectNews& update);
+    void onSuspectUpdate(const SuspectUpdate& update);
     // Logs requests that were blocked or cleared since the last call, and passes them to the store.
     void reportBlockedRequests();
     // Blocks the requests that were stored as blocked when this node started.
-    void restoreBlockedRequests(const std::vector<KeptRequest>&);
+    void restoreBlockedRequests(const std::vector<StoredBlockedRequest>&);
     SummaryOwner summaryOwner() const;
     NodeSummary summarize(const std::vector<const PeerRow*>& alive, SteadyTime now);
-    NodeSummary summarize(const GroupSum& others, SteadyTime now);
+    NodeSummary summarize(const GroupAggregate& others, SteadyTime now);
     // Usage of all nodes, by window and team.
     WindowCounts fleetUsage() const;
 
@@ -141,7 +141,7 @@
     unsigned listedNodes { 0 }; // Nodes that the store lists, this one included; 0 before the list was read.
     Address controlAddress {};
     // Both post to the control thread, which writes to the store.
-    std::function<void(const KeptRequest&)> saveBlockedRequest {};
+    std::function<void(const StoredBlockedRequest&)> saveBlockedRequest {};
     std::function<void(const RequestDigest&)> deleteBlockedRequest {};
 };
 
--- a/modules/forward/client_session.cpp
+++ b/modules/forward/client_session.cpp
@@ -16,14 +16,14 @@
 ClientSession::ClientSession(ForwardContext& context, std::shared_ptr<AsyncConnection> connection)
     : m_context(context)
     , m_connection(std::move(connection))
-    , m_bodyReservation(context.heldBodies)
+    , m_bodyReservation(context.bodyMemory)
 {
 }
 
-CallerLimits ClientSession::limits() const
+ClientLimits ClientSession::limits() const
 {
     auto configuration = m_context.view.configuration();
-    return configuration ? configuration->declaration().limits : CallerLimits {};
+    return configuration ? configuration->declaration().limits : ClientLimits {};
 }
 
 void ClientSession::closeIfIdle()
@@ -74,7 +74,7 @@
     co_return ReadResult::Complete;
 }
 
-asio::awaitable<ClientSession::ReadResult> ClientSession::readHead(HttpParser& parser, const CallerLimits& bounds)
+asio::awaitable<ClientSession::ReadResult> ClientSession::readHead(HttpParser& parser, const ClientLimits& bounds)
 {
     auto until = m_request.arrivedAt + bounds.headTimeout;
     parser.feed(m_connection->input());
@@ -93,7 +93,7 @@
     co_return ReadResult::Complete;
 }
 
-asio::awaitable<ClientSession::ReadResult> ClientSession::readBody(HttpParser& parser, const CallerLimits& bounds)
+asio::awaitable<ClientSession::ReadResult> ClientSession::readBody(HttpParser& parser, const ClientLimits& bounds)
 {
     if (parser.head().contentLength.value_or(0) > bounds.maximumBodyBytes)
         co_return co_await refuse(HttpStatus::bodyTooLarge, "body_too_large");
--- a/modules/forward/client_session.h
+++ b/modules/forward/client_session.h
@@ -24,11 +24,11 @@
     };
 
     asio::awaitable<ReadResult> readRequest();
-    asio::awaitable<ReadResult> readHead(HttpParser&, const CallerLimits&);
-    asio::awaitable<ReadResult> readBody(HttpParser&, const CallerLimits&);
+    asio::awaitable<ReadResult> readHead(HttpParser&, const ClientLimits&);
+    asio::awaitable<ReadResult> readBody(HttpParser&, const ClientLimits&);
     // Sends an error response without a body and waits briefly for the client to read it.
     asio::awaitable<ReadResult> refuse(int status, std::string_view reason);
-    CallerLimits limits() const;
+    ClientLimits limits() const;
 
     ForwardContext& m_context;
     std::shared_ptr<AsyncConnection> m_connection;
--- a/modules/forward/endpoint_call.cpp
+++ b/modules/forward/endpoint_call.cpp
@@ -76,7 +76,7 @@
     while (!idle.empty()) {
         auto entry = idle.back();
         idle.pop_back();
-        if (now < entry.usableUntil && entry.connection->isQuiet()) {
+        if (now < entry.usableUntil && entry.connection->isReusable()) {
             m_connection = entry.connection;
             return true;
         }
@@ -108,7 +108,7 @@
     std::string_view remaining(bytes);
     while (!remaining.empty()) {
         asio::error_code ec;
-        auto size = m_connection->writeNow(remaining.substr(0, writeStepBytes), ec);
+        auto size = m_connection->writeWithoutBlocking(remaining.substr(0, writeStepBytes), ec);
         if (ec) {
             m_isConnectionLost = !m_isCancelled;
             co_return CallStatus::Failed;
@@ -123,7 +123,7 @@
         m_isConnectionLost = ec && ec != asio::error::timed_out && !m_isCancelled;
         if (ec)
             co_return ec == asio::error::timed_out ? CallStatus::TimedOut : CallStatus::Failed;
-        if (!m_connection->isQuiet())
+        if (!m_connection->isReusable())
             co_return CallStatus::Success;
     }
     m_isRequestSent = true;
--- a/modules/forward/endpoint_notice.cpp
+++ b/modules/forward/endpoint_notice.cpp
@@ -37,8 +37,8 @@
 
     bool hasEndpointPrefix(const std::string& name, const WireNames& names)
     {
-        auto size = names.endpointFamily.size();
-        return size > 0 && name.size() > size && equalsIgnoringCase(std::string_view(name).substr(0, size), names.endpointFamily);
+        auto size = names.endpointFieldPrefix.size();
+        return size > 0 && name.size() > size && equalsIgnoringCase(std::string_view(name).substr(0, size), names.endpointFieldPrefix);
     }
 
 } // namespace
@@ -51,7 +51,7 @@
             parseDraining(notice, it.value);
         else if (equalsIgnoringCase(it.name, names.limit))
             parseLimit(notice, it.value);
-        else if (HttpStatus::turnsAway(head.status) && equalsIgnoringCase(it.name, retryAfterField))
+        else if (HttpStatus::isRefusalStatus(head.status) && equalsIgnoringCase(it.name, retryAfterField))
             parseBackoff(notice, it.value);
         else if (notice.unknownField.empty() && hasEndpointPrefix(it.name, names) && !equalsIgnoringCase(it.name, names.receipt))
             notice.unknownField = it.name.substr(0, maximumUnknownFieldLength);
--- a/modules/forward/exchange.cpp
+++ b/modules/forward/exchange.cpp
@@ -97,7 +97,7 @@
 // Refuses a request that was not executed. Retry-After is the time for which the request stays blocked, without an upper bound.
 Exchange::LocalResponse Exchange::withheldResponse()
 {
-    auto left = m_context.suspects.blockedLeft(digest(), steadyNow());
+    auto left = m_context.suspects.remainingBlockTime(digest(), steadyNow());
     m_context.metrics.increment("onyxnotch_entry_withheld_requests_total", { { "reason", left.count() > 0 ? "blocked" : "one_at_a_time" } });
     return { .retryAfter = std::max(left, m_context.options.retryAfter), .reason = left.count() > 0 ? "blocked" : "one_at_a_time" };
 }
@@ -127,7 +127,7 @@
         co_return co_await respond(*refusal);
     auto endpoints = m_context.view.endpoints();
     m_endpointsRevision = endpoints ? endpoints->revision : 0;
-    m_context.takeEndpoints(endpoints, *m_configuration, steadyNow());
+    m_context.applyEndpointList(endpoints, *m_configuration, steadyNow());
     m_context.retries.onRequest(m_service->name);
     m_context.demand.onBegin(m_service->name);
     m_client->watch([this] {
@@ -167,7 +167,7 @@
 bool Exchange::canMeetObjective(const ChosenEndpoint& chosen) const
 {
     // While the expected prefill times are assumed, not measured, they may be wrong by a factor: no request is refused because of them.
-    if (m_promptTokens > 0 && !m_context.endpoints.trustsTimes(steadyNow()))
+    if (m_promptTokens > 0 && !m_context.endpoints.areTimesTrusted(steadyNow()))
         return true;
     auto moreUrgent = m_configuration->moreUrgent(m_service->name, priority());
     return canBeOnTime({
@@ -214,12 +214,12 @@
         }
         ++m_creditDenials;
         request.excluded.push_back(chosen->endpoint->listed.id);
-        request.skipsSpent = true;
+        request.skipsEndpointsWithoutCredit = true;
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<bool> Exchange::ensureCredit(EndpointLife life)
+asio::awaitable<bool> Exchange::ensureCredit(EndpointIncarnation life)
 {
     if (m_hasCredit || !m_context.endpoints.limits().isLimited(life))
         co_return true;
@@ -228,7 +228,7 @@
     co_return m_hasCredit;
 }
 
-void Exchange::releaseCredit(const EndpointLife& life)
+void Exchange::releaseCredit(const EndpointIncarnation& life)
 {
     if (m_hasCredit)
         m_context.returnUnusedCredit(life);
@@ -269,7 +269,7 @@
             recordSlotTime(*chosen);
             co_return ExchangeResult::Answered;
         }
-        auto acquireRetry = [this] { return m_context.suspects.maySendAgain(digest(), steadyNow()) && m_context.retries.take(m_service->name); };
+        auto acquireRetry = [this] { return m_context.suspects.isRetryAllowed(digest(), steadyNow()) && m_context.retries.take(m_service->name); };
         if (!m_attemptTracker.mayRetry(acquireRetry))
             co_return co_await finishUndelivered(outcome);
     }
@@ -285,8 +285,8 @@
     m_triedEndpoints.push_back(chosen.endpoint->listed.id);
     recordVersionSent(chosen.endpoint->listed);
     recordChoice(chosen);
-    if (m_context.tellLongPrefill && m_context.endpoints.prefillSeconds(chosen.uncachedTokens) > std::chrono::duration<double>(m_context.options.longPrefillThreshold).count())
-        m_context.tellLongPrefill(chosen.endpoint->listed.life(), chosen.uncachedTokens);
+    if (m_context.notifyLongPrefill && m_context.endpoints.prefillSeconds(chosen.uncachedTokens) > std::chrono::duration<double>(m_context.options.longPrefillThreshold).count())
+        m_context.notifyLongPrefill(chosen.endpoint->listed.life(), chosen.uncachedTokens);
     m_call = &call;
     m_flight = &flight;
     m_attemptStartedAt = steadyNow();
@@ -333,7 +333,7 @@
         applyLimit(chosen.endpoint->listed.life(), unlimitedPerSecond);
     if (call.head().status == HttpStatus::misdirected) {
         // Another endpoint has this address now, so the chosen one no longer exists.
-        m_context.endpoints.foundLeaving(chosen.endpoint->listed.life(), steadyNow());
+        m_context.endpoints.markFoundLeaving(chosen.endpoint->listed.life(), steadyNow());
         co_return AttemptOutcome::NotRun;
     }
     if (call.head().find(options.names.notRun))
@@ -360,7 +360,7 @@
     if (m_streamStarted)
         co_return AttemptOutcome::MayHaveRun;
     // Clients take this status as a promise that the request was not executed, but the endpoint has not reported that.
-    if (HttpStatus::promisesNotRun(call.head().status))
+    if (HttpStatus::guaranteesNotExecuted(call.head().status))
         co_return AttemptOutcome::MayHaveRun;
     if (call.head().status / 100 == 5) {
         m_failureHead = call.head();
@@ -450,7 +450,7 @@
     LocalResponse refusal { .retryAfter = m_context.options.retryAfter, .reason = m_attemptTracker.attempts() > 0 ? "endpoint_refused" : "no_endpoint" };
     auto now = steadyNow();
     auto request = endpointRequest();
-    auto availableAt = m_context.endpoints.firstBack(request, now);
+    auto availableAt = m_context.endpoints.earliestAvailable(request, now);
     if (m_creditDenials > 0) {
         auto perSecond = m_context.endpoints.limitOf(request) / std::max(1U, m_context.nodes);
         auto wait = m_context.returnTimes.next(m_service->name, availableAt.value_or(now), perSecond, now);
--- a/modules/forward/exchange.h
+++ b/modules/forward/exchange.h
@@ -55,9 +55,9 @@
     // endpoint.
     asio::awaitable<std::optional<ChosenEndpoint>> selectEndpoint(EndpointRequest&);
     // Acquires a credit if the endpoint advertises a limit and this attempt has none yet. Returns false if none is granted.
-    asio::awaitable<bool> ensureCredit(EndpointLife);
+    asio::awaitable<bool> ensureCredit(EndpointIncarnation);
     // Returns the credit of an attempt that sent nothing.
-    void releaseCredit(const EndpointLife&);
+    void releaseCredit(const EndpointIncarnation&);
     asio::awaitable<AttemptOutcome> runAttempt(const ChosenEndpoint&);
     asio::awaitable<AttemptOutcome> callEndpoint(EndpointCall&, const ChosenEndpoint&);
     // Passes events on as they arrive. Once a part is passed on, the stream can only be resumed, not repeated.
@@ -70,8 +70,8 @@
     void updateHealth(EndpointState&, AttemptOutcome);
     void updateSuspects(const EndpointCall&, const ListedEndpoint&, AttemptOutcome);
     void handleHead(const ListedEndpoint&, const HttpHead&);
-    void applyNotice(const EndpointLife&, const EndpointNotice&);
-    void applyLimit(const EndpointLife&, double perSecond);
+    void applyNotice(const EndpointIncarnation&, const EndpointNotice&);
+    void applyLimit(const EndpointIncarnation&, double perSecond);
     void countNotice(const EndpointNotice&);
     void writeNoticeLog(const ListedEndpoint&, const EndpointNotice&);
     LocalResponse withheldResponse();
--- a/modules/forward/exchange_notes.cpp
+++ b/modules/forward/exchange_notes.cpp
@@ -22,7 +22,7 @@
 void Exchange::recordVersionSent(const ListedEndpoint& endpoint)
 {
     m_firstEventAt = {};
-    m_isVersionMixed = m_context.options.rollouts && m_context.versions.isMixed(m_service->name);
+    m_isVersionMixed = m_context.options.rollouts && m_context.versions.hasSeveralVersions(m_service->name);
     if (m_isVersionMixed)
         m_context.versions.onSent({ .service = m_service->name, .version = endpoint.version, .route = m_route->name });
 }
@@ -35,17 +35,17 @@
     auto now = steadyNow();
     bool isStream = m_firstEventAt != SteadyTime {};
     AnswerTimes times {
-        .firstSeconds = std::chrono::duration<double>((isStream ? m_firstEventAt : now) - m_attemptStartedAt).count(),
+        .secondsToFirstEvent = std::chrono::duration<double>((isStream ? m_firstEventAt : now) - m_attemptStartedAt).count(),
         .expectedSeconds = isStream ? chosen.expectedSeconds : 0,
-        .restSeconds = isStream ? std::chrono::duration<double>(now - m_firstEventAt).count() : 0,
-        .restEvents = isStream ? static_cast<unsigned>(m_events.events()) : 0,
+        .streamSeconds = isStream ? std::chrono::duration<double>(now - m_firstEventAt).count() : 0,
+        .streamEventCount = isStream ? static_cast<unsigned>(m_events.events()) : 0,
     };
     bool isSlow = attemptOutcome == AttemptOutcome::Delivered && m_context.pace.isSlow(m_route->name, times);
     if (m_isVersionMixed) {
         bool isBad = attemptOutcome == AttemptOutcome::FailedAnswer || isSlow;
         m_context.versions.onEnd({ .service = m_service->name, .version = chosen.endpoint->listed.version, .route = m_route->name }, attemptOutcome == AttemptOutcome::Delivered && !isSlow, isBad);
     }
-    bool isKnownVersion = !m_context.versions.isOnTrial(m_service->name, chosen.endpoint->listed.version);
+    bool isKnownVersion = !m_context.versions.isNotKnownGood(m_service->name, chosen.endpoint->listed.version);
     if (attemptOutcome == AttemptOutcome::Delivered && isKnownVersion)
         m_context.pace.observe(m_route->name, times);
 }
@@ -83,14 +83,14 @@
     bool isAnswered = (attemptOutcome == AttemptOutcome::Delivered || attemptOutcome == AttemptOutcome::CallerLeft) && call.isComplete() && call.head().status / 100 == 2;
     if (isAnswered)
         suspects.onAnswered(digest(), life, m_attemptStartedAt, now);
-    else if (call.connectionLost() && m_context.endpoints.isExpectedToLive(endpoint.life()))
+    else if (call.connectionLost() && m_context.endpoints.isExpectedToServe(endpoint.life()))
         suspects.onLost(digest(), life, now);
     else if (attemptOutcome == AttemptOutcome::OutOfTime || attemptOutcome == AttemptOutcome::CallerLeft)
         suspects.onLeft(digest(), life, now);
     else
         suspects.onEnded(digest(), life);
-    if (suspects.takeHasNews() && m_context.tellSuspects)
-        m_context.tellSuspects();
+    if (suspects.takeHasUpdate() && m_context.notifySuspects)
+        m_context.notifySuspects();
 }
 
 // Processes a response head, final or interim. The notices in a 421 response are ignored: it comes from another endpoint that now has the
@@ -113,11 +113,11 @@
 // Applies what an endpoint reports about itself as soon as the head is read, while a stream's body is still running and whatever the
 // outcome of the attempt: the store's endpoint list may be out of date for as long as the store is unreachable. Draining that is already
 // known, e.g. from a peer, is not recorded again.
-void Exchange::applyNotice(const EndpointLife& life, const EndpointNotice& notice)
+void Exchange::applyNotice(const EndpointIncarnation& life, const EndpointNotice& notice)
 {
     auto now = steadyNow();
     if (notice.isDraining && !m_context.endpoints.isLeaving(life))
-        m_context.endpoints.foundLeaving(life, now);
+        m_context.endpoints.markFoundLeaving(life, now);
     // The backoff is randomized so that requests from many nodes do not return to the endpoint at the same moment.
     if (notice.backoff)
         m_context.endpoints.askedRest(life, randomlyLengthened(*notice.backoff, m_context.random), now);
@@ -127,19 +127,19 @@
 
 // Applies an advertised limit; `unlimitedPerSecond` stands for a response without the limit field. Such a response ends a limit only if its
 // request was sent after the last response that had the field.
-void Exchange::applyLimit(const EndpointLife& life, double perSecond)
+void Exchange::applyLimit(const EndpointIncarnation& life, double perSecond)
 {
     auto& limits = m_context.endpoints.limits();
     if (perSecond >= unlimitedPerSecond && !limits.knows(life))
         return;
     auto now = steadyNow();
-    LimitWord limit { .endpoint = life, .perSecond = std::min(perSecond, unlimitedPerSecond), .sentAt = m_context.trueMilliseconds(m_attemptStartedAt), .heardAt = m_context.trueMilliseconds(now) };
-    if (!limits.hear(limit, now))
+    AdvertisedLimit limit { .endpoint = life, .perSecond = std::min(perSecond, unlimitedPerSecond), .sentAt = m_context.fleetTimeMilliseconds(m_attemptStartedAt), .receivedAt = m_context.fleetTimeMilliseconds(now) };
+    if (!limits.onAdvertisedLimit(limit, now))
         return;
     if (m_context.noticeLines.take(now))
         logEvent(LogLevel::Info, "endpoint_limit", { { "request_id", m_requestId }, { "endpoint", life.id }, { "born", life.born }, { "per_s", limits.perSecond(life).value_or(-1) } });
-    if (m_context.tellLimits)
-        m_context.tellLimits();
+    if (m_context.notifyLimits)
+        m_context.notifyLimits();
 }
 
 void Exchange::countNotice(const EndpointNotice& notice)
@@ -166,7 +166,7 @@
 // Measured only if a slot was free when the request was sent: otherwise the time includes the wait for a slot.
 void Exchange::recordSlotTime(const ChosenEndpoint& chosen)
 {
-    if (chosen.slotFree)
+    if (chosen.isSlotFree)
         m_context.endpoints.observeSlot(m_service->name, std::chrono::duration<double>(steadyNow() - m_attemptStartedAt).count());
 }
 
@@ -174,10 +174,10 @@
 void Exchange::writeAttemptLog(const EndpointState& endpoint, AttemptOutcome attemptOutcome)
 {
     m_context.metrics.increment("onyxnotch_failed_tries_total", { { "end", std::string(nameOf(attemptOutcome)) } });
-    if (!m_context.failedLines.take(steadyNow()))
+    if (!m_context.failedRequestLines.take(steadyNow()))
         return;
     logEvent(LogLevel::Info, "try_failed",
-        { { "request_id", m_requestId }, { "digest", digest().text() }, { "endpoint", endpoint.listed.id }, { "end", nameOf(attemptOutcome) }, { "status", m_responseStatus }, { "choice", m_choiceReason }, { "ended_endpoints", m_context.suspects.endedLives(digest()) }, { "try", m_attemptTracker.attempts() }, { "expected_ms", m_expectedMilliseconds },
+        { { "request_id", m_requestId }, { "digest", digest().text() }, { "endpoint", endpoint.listed.id }, { "end", nameOf(attemptOutcome) }, { "status", m_responseStatus }, { "choice", m_choiceReason }, { "ended_endpoints", m_context.suspects.endedIncarnations(digest()) }, { "try", m_attemptTracker.attempts() }, { "expected_ms", m_expectedMilliseconds },
             { "ms", toMilliseconds(steadyNow() - m_attemptStartedAt).count() }, { "events", m_events.events() }, { "endpoints_revision", m_endpointsRevision } });
 }
 
@@ -199,8 +199,8 @@
         endpoint.health.onFailure(steadyNow());
         return;
     case AttemptOutcome::NotRun:
-        if (HttpStatus::turnsAway(m_responseStatus))
-            endpoint.health.onTurnedAway(steadyNow());
+        if (HttpStatus::isRefusalStatus(m_responseStatus))
+            endpoint.health.onRequestRefused(steadyNow());
         return;
     case AttemptOutcome::NoConnectionLeft:
     case AttemptOutcome::Unwanted:
@@ -213,7 +213,7 @@
 void Exchange::countUsage()
 {
     if (m_team && m_events.events() == 0)
-        m_context.usage.count(m_team->name, m_context.trueMilliseconds());
+        m_context.usage.count(m_team->name, m_context.fleetTimeMilliseconds());
 }
 
 void Exchange::writeLog(int status, std::string_view outcome)
@@ -224,7 +224,7 @@
     m_context.metrics.observeSeconds("onyxnotch_entry_request_seconds", seconds, {});
     if (m_firstEventMilliseconds >= 0)
         m_context.metrics.observeSeconds("onyxnotch_entry_first_event_seconds", static_cast<double>(m_firstEventMilliseconds) / 1000, {});
-    auto& budget = status / 100 == 2 && outcome != "stream_cut" ? m_context.answeredLines : m_context.failedLines;
+    auto& budget = status / 100 == 2 && outcome != "stream_cut" ? m_context.succeededRequestLines : m_context.failedRequestLines;
     if (!budget.take(now))
         return;
     logEvent(LogLevel::Info, "request",
--- a/modules/forward/forward_context.h
+++ b/modules/forward/forward_context.h
@@ -8,12 +8,12 @@
 #include "modules/forward/demand_meter.h"
 #include "modules/forward/wire_names.h"
 #include "modules/limits/retry_budget.h"
-#include "modules/limits/return_times.h"
+#include "modules/limits/retry_delays.h"
 #include "modules/limits/team_limits.h"
 #include "modules/limits/usage_ledger.h"
-#include "modules/rollout/answer_pace.h"
+#include "modules/rollout/answer_time_monitor.h"
 #include "modules/rollout/version_gate.h"
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include <asio/awaitable.hpp>
 #include <functional>
 #include <random>
@@ -23,8 +23,8 @@
 struct ForwardOptions {
     WireNames names {};
     std::string zone {};
-    unsigned maximumCallers { 3000 }; // Open client connections; must stay below the process's file descriptor limit.
-    std::size_t maximumHeldBytes { 64U << 20U }; // Total size of the request bodies buffered for all clients.
+    unsigned maximumClients { 3000 }; // Open client connections; must stay below the process's file descriptor limit.
+    std::size_t maximumBufferedBodyBytes { 64U << 20U }; // Total size of the request bodies buffered for all clients.
     // Size of one response body that is buffered until complete before it is passed on.
     std::size_t maximumBufferedResponseBytes { 1U << 20U };
     // To connect to an endpoint: many round trips, and short compared with an objective of one second.
@@ -36,7 +36,7 @@
     Milliseconds retryAfter { 300 }; // Retry-After of a refusal, or its minimum where the wait is estimated.
     // At startup, clients wait up to this long for the first configuration and endpoint list: a reachable store answers within about
     // 20 ms, and a refusal would make the client retry later than that.
-    Milliseconds startWait { 100 };
+    Milliseconds startupWait { 100 };
     Milliseconds minimumTimeToSend { 10 }; // A request with less time left is not sent: no endpoint could respond in time.
     // A sixth of the gossip period: a shorter prefill is over before other nodes could receive a notice about it.
     Milliseconds longPrefillThreshold { 40 };
@@ -102,43 +102,43 @@
         , retries(retryOptions)
         , usage(options.usageWindowMilliseconds)
         , suspects(options.suspects)
-        , heldBodies(options.maximumHeldBytes)
+        , bodyMemory(options.maximumBufferedBodyBytes)
     {
     }
 
     // Converts to the time of day agreed between the nodes, in milliseconds since 1970.
-    std::uint64_t trueMilliseconds(SteadyTime at) const
+    std::uint64_t fleetTimeMilliseconds(SteadyTime at) const
     {
         return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(at.time_since_epoch()).count() + clockDifference);
     }
-    std::uint64_t trueMilliseconds() const { return trueMilliseconds(steadyNow()); }
+    std::uint64_t fleetTimeMilliseconds() const { return fleetTimeMilliseconds(steadyNow()); }
 
     // Acquires one credit, which allows one request to an endpoint that advertises a limit. Returns false if none is granted.
-    asio::awaitable<bool> acquireCredit(EndpointLife life)
+    asio::awaitable<bool> acquireCredit(EndpointIncarnation life)
     {
-        if (!askCredit)
+        if (!requestCreditFromRelay)
             co_return endpoints.limits().take(life, 1, steadyNow());
-        bool isGranted = co_await askCredit(life);
+        bool isGranted = co_await requestCreditFromRelay(life);
         co_return isGranted;
     }
     // Returns a credit whose request was never sent.
-    void returnUnusedCredit(const EndpointLife& life)
+    void returnUnusedCredit(const EndpointIncarnation& life)
     {
         if (returnCredit)
             returnCredit(life);
         else
-            endpoints.limits().giveBack(life, steadyNow());
+            endpoints.limits().refundCredit(life, steadyNow());
     }
 
     // Applies `list` if it differs from the last list applied. Registers new versions with the version gate before any request is sent to
     // them.
-    void takeEndpoints(const std::shared_ptr<const EndpointList>& list, const TrafficConfiguration& configuration, SteadyTime now)
+    void applyEndpointList(const std::shared_ptr<const EndpointList>& list, const TrafficConfiguration& configuration, SteadyTime now)
     {
         if (!list || list == m_appliedList)
             return;
         m_appliedList = list;
         for (const auto& it : endpoints.update(list, configuration, now))
-            suspects.onLifeGone(hashOf(it), now);
+            suspects.onIncarnationRemoved(hashOf(it), now);
         if (options.rollouts)
             versions.onList(*list, now);
     }
@@ -151,28 +151,28 @@
     TeamLimits teams;
     SharedRetryBudget retries;
     UsageLedger usage;
-    SuspectBook suspects;
+    SuspectTracker suspects;
     DemandMeter demand {};
     VersionGate versions {};
-    AnswerPace pace {};
+    AnswerTimeMonitor pace {};
     // Log lines per second for successful and for failed requests: a line for every request would cost too much processor time.
-    LogBudget answeredLines { 100 };
-    LogBudget failedLines { 100 };
-    LogBudget noticeLines { 50 }; // Log lines per second for notices that endpoints send about themselves.
+    LogRateLimiter succeededRequestLines { 100 };
+    LogRateLimiter failedRequestLines { 100 };
+    LogRateLimiter noticeLines { 50 }; // Log lines per second for notices that endpoints send about themselves.
     std::int64_t clockDifference { 0 }; // Agreed time of day minus the monotonic clock, in milliseconds.
-    BodyMemoryBudget heldBodies; // Client request bodies.
+    BodyMemoryBudget bodyMemory; // Client request bodies.
     bool stopping { false };
     // Called when a prompt is sent whose prefill exceeds `longPrefillThreshold`: other nodes need it to choose endpoints.
-    std::function<void(const EndpointLife&, double tokens)> tellLongPrefill {};
+    std::function<void(const EndpointIncarnation&, double tokens)> notifyLongPrefill {};
     // Called when the records of suspected requests, under which endpoints fail, have changed: other nodes need the change at once.
-    std::function<void()> tellSuspects {};
+    std::function<void()> notifySuspects {};
     // Acquires one credit for an endpoint from the node that grants its credits, and returns an unused one to it. If not set, this node
     // grants the credits itself.
-    std::function<asio::awaitable<bool>(EndpointLife)> askCredit {};
-    std::function<void(const EndpointLife&)> returnCredit {};
+    std::function<asio::awaitable<bool>(EndpointIncarnation)> requestCreditFromRelay {};
+    std::function<void(const EndpointIncarnation&)> returnCredit {};
     // Called when an endpoint's limit has changed: other nodes need the change at once.
-    std::function<void()> tellLimits {};
-    ReturnTimes returnTimes {};
+    std::function<void()> notifyLimits {};
+    RetryDelays returnTimes {};
     unsigned nodes { 1 }; // Nodes that share the endpoints' connections, including this one.
     std::mt19937_64 random { std::random_device {}() };
 
--- a/modules/forward/forward_server.cpp
+++ b/modules/forward/forward_server.cpp
@@ -41,10 +41,10 @@
     return { .host = endpoint.address().to_string(), .port = endpoint.port() };
 }
 
-// Waits up to `startWait` for the first configuration and endpoint list. Client connections queue in the listen backlog meanwhile.
+// Waits up to `startupWait` for the first configuration and endpoint list. Client connections queue in the listen backlog meanwhile.
 asio::awaitable<void> ForwardServer::waitForConfiguration()
 {
-    auto waitUntil = steadyNow() + m_context.options.startWait;
+    auto waitUntil = steadyNow() + m_context.options.startupWait;
     while (steadyNow() < waitUntil && !(m_context.view.configuration() && m_context.view.endpoints())) {
         co_await sleepFor(m_context.context, configurationPollInterval);
     }
@@ -63,7 +63,7 @@
             co_await sleepFor(m_context.context, acceptRetryDelay);
             continue;
         }
-        if (m_sessions.size() >= m_context.options.maximumCallers) {
+        if (m_sessions.size() >= m_context.options.maximumClients) {
             logEvent(LogLevel::Warning, "caller_refused", { { "connections", m_sessions.size() } });
             continue; // The socket's destructor closes the connection; nothing has been read from it.
         }
--- a/modules/forward/wire_names.h
+++ b/modules/forward/wire_names.h
@@ -21,7 +21,7 @@
     std::string leaving {}; // In a response: "1" if the endpoint is draining.
     // In a response: the limit that the endpoint advertises, in requests per second from all nodes together; a decimal number.
     std::string limit {};
-    std::string endpointFamily {}; // Prefix of all header field names with which endpoints report about themselves.
+    std::string endpointFieldPrefix {}; // Prefix of all header field names with which endpoints report about themselves.
     std::string priority {}; // 0 to 9; 0 is the most urgent.
     std::vector<std::string> ours {}; // Fields that only this node may set in forwarded requests; removed if a client sends them.
 };
--- a/modules/gateway/gateway_api.cpp
+++ b/modules/gateway/gateway_api.cpp
@@ -160,7 +160,7 @@
     auto response = (this->*handler)(request, *client);
     // A node that shuts down waits until its responses are written. Without this, 2 of 76 calls that completed just before the exit
     // were cut off at the client.
-    response.untilWritten = std::move(open);
+    response.releasedWhenWritten = std::move(open);
     return response;
 }
 
@@ -180,7 +180,7 @@
     auto [end, ec] = std::from_chars(wanted.data(), wanted.data() + wanted.size(), count);
     if (!wanted.empty() && (ec != std::errc() || end != wanted.data() + wanted.size() || count > m_options.maximumTicketsPerCall))
         return errorResponse({ .outcome = RequestOutcome::NotRun, .httpStatus = HttpStatus::badRequest, .reason = "tickets must be a number up to " + std::to_string(m_options.maximumTicketsPerCall) }, {});
-    Json body { { "addresses", m_requests.addresses(m_options.addressCount) }, { "valid_ms", m_options.addressesValid.count() }, { "tickets", Json::array() } };
+    Json body { { "addresses", m_requests.addresses(m_options.addressCount) }, { "valid_ms", m_options.addressesValidity.count() }, { "tickets", Json::array() } };
     // A node that is shutting down issues no tickets: requests with them would have to be looked up at its successor at once.
     for (unsigned n = 0; n < count && !m_requests.isShuttingDown(); ++n)
         body["tickets"].push_back({ { "ticket", m_requests.issueTicket(client) }, { "address", m_membership.view()->self.httpAddress().text() } });
@@ -240,7 +240,7 @@
 
 void GatewayApi::writeEventStream(const std::shared_ptr<ActiveRequest>& request, std::uint64_t offset, bool isFirstResponse, const HttpStreamWriter& writer)
 {
-    request->noteReader(1);
+    request->changeReaderCount(1);
     ChatEventWriter events(request->description().id, request->description().service);
     bool connected = !isFirstResponse || writer(events.accepted());
     auto started = steadyNow();
@@ -280,13 +280,13 @@
             lastWrite = steadyNow();
         }
     }
-    request->noteReader(-1);
+    request->changeReaderCount(-1);
 }
 
 HttpResponse GatewayApi::completeResponse(const std::shared_ptr<ActiveRequest>& request)
 {
     const auto& description = request->description();
-    request->noteReader(1);
+    request->changeReaderCount(1);
     HttpResponse response;
     response.headers.emplace(requestIdHeader, description.id);
     while (true) {
@@ -314,7 +314,7 @@
         if (part.moved)
             std::this_thread::sleep_for(Milliseconds(20));
     }
-    request->noteReader(-1);
+    request->changeReaderCount(-1);
     return response;
 }
 
--- a/modules/gateway/gateway_api.h
+++ b/modules/gateway/gateway_api.h
@@ -12,7 +12,7 @@
     std::string instance {};
     std::string zone {};
     std::string operatorKeyDigest {}; // SHA-256 of the operators' bearer key; if empty, /v1/status and /v1/explain need no key.
-    Milliseconds addressesValid { 30000 }; // How long clients may cache a response of /v1/addresses.
+    Milliseconds addressesValidity { 30000 }; // How long clients may cache a response of /v1/addresses.
     std::size_t addressCount { 8 };
     unsigned maximumTicketsPerCall { 32 };
     Milliseconds keepAlive { 1000 }; // Interval of comment lines on an idle stream; a failed write detects a disconnected client.
--- a/modules/gateway/request_server.cpp
+++ b/modules/gateway/request_server.cpp
@@ -81,7 +81,7 @@
     while (steadyNow() < limit) {
         if (auto successor = m_handover.successor())
             return successor;
-        auto announced = m_membership.view()->answeringNode(m_options.node, m_options.incarnation);
+        auto announced = m_membership.view()->responsibleNode(m_options.node, m_options.incarnation);
         if (announced && announced->node != m_options.node)
             return announced;
         std::this_thread::sleep_for(successorPoll);
@@ -98,13 +98,13 @@
 
 RequestServer::TicketLocation RequestServer::locateTicket(const Ticket& ticket, bool forwarded) const
 {
-    if (m_ledgers.answersFor(ticket)) {
+    if (m_ledgers.hostsLedgerOf(ticket)) {
         bool isHandedOver = m_ledgers.given();
         return { .isLocal = !isHandedOver, .isHandedOver = isHandedOver, .forwardTo = std::nullopt };
     }
     if (forwarded)
         return {};
-    auto member = m_membership.view()->answeringNode(ticket.node, ticket.incarnation);
+    auto member = m_membership.view()->responsibleNode(ticket.node, ticket.incarnation);
     if (member && member->node == m_options.node)
         member.reset();
     return { .isLocal = false, .isHandedOver = false, .forwardTo = member };
@@ -158,7 +158,7 @@
     bool isLocal = entry.holderNode == m_options.node && entry.holderIncarnation == m_options.incarnation;
     if (isLocal || entry.outcome != RequestOutcome::Running)
         return { .existing = entry };
-    auto holder = m_membership.view()->answeringNode(entry.holderNode, entry.holderIncarnation);
+    auto holder = m_membership.view()->responsibleNode(entry.holderNode, entry.holderIncarnation);
     if (holder && holder->node != m_options.node)
         return { .forwardTo = holder };
     if (repeatable)
@@ -408,12 +408,12 @@
         std::lock_guard lock(m_mutex);
         call = m_plainCalls.at(requestId);
     }
-    m_table.noteStarted();
+    m_table.incrementRunningCount();
     auto answer = call->run(request, steadyNow() + m_options.requestDeadline);
     m_ledgers.finish(requestId, answer.outcome, answer.httpStatus, answer.body);
     if (m_ledgers.given())
         m_handover.sendUpdate(requestId);
-    m_table.noteEnded();
+    m_table.decrementRunningCount();
     m_metrics.increment("onyxnotch_requests_total", { { "service", request.service }, { "outcome", toString(answer.outcome) } });
     logEvent(LogLevel::Info, "request_ended", { { "request_id", requestId }, { "service", request.service }, { "outcome", toString(answer.outcome) }, { "reason", answer.reason } });
     std::lock_guard lock(m_mutex);
@@ -461,12 +461,12 @@
         std::lock_guard lock(m_mutex);
         ++m_requestThreads;
     }
-    m_table.noteStarted();
+    m_table.incrementRunningCount();
     request->setRunning(true);
     std::thread([this, request] {
         runRequest(request);
         request->setRunning(false);
-        m_table.noteEnded();
+        m_table.decrementRunningCount();
         std::lock_guard lock(m_mutex);
         --m_requestThreads;
         m_idleCondition.notify_all();
@@ -494,36 +494,36 @@
         if (place.empty() || it->answer().outcome() != RequestOutcome::Running || !m_directory.isLeaving(place.endpoint))
             continue;
         auto& transfersAhead = transfers[place.endpoint];
-        if (m_runner.planFor(*it, transfersAhead).action == ReclaimAction::Stay)
+        if (m_runner.planForDrainingEndpoint(*it, transfersAhead).action == ReclaimAction::Stay)
             continue;
         ++transfersAhead;
-        it->interrupt(Interruption::EndpointLeaving);
+        it->interrupt(Interruption::EndpointDraining);
     }
 }
 
 std::optional<RequestError> RequestServer::suspectedRequestError(const RequestDigest& digest)
 {
-    return m_suspects.use([&](SuspectBook& book) -> std::optional<RequestError> {
+    return m_suspects.use([&](SuspectTracker& book) -> std::optional<RequestError> {
         auto now = steadyNow();
         if (book.maySend(digest, now))
             return std::nullopt;
-        return refusal(HttpStatus::serviceUnavailable, "endpoints end under this request", std::max(book.blockedLeft(digest, now), m_options.defaultRetryAfter));
+        return refusal(HttpStatus::serviceUnavailable, "endpoints end under this request", std::max(book.remainingBlockTime(digest, now), m_options.defaultRetryAfter));
     });
 }
 
 void RequestServer::sendSuspectUpdate()
 {
     auto now = steadyNow();
-    SuspectNews update;
-    m_suspects.use([&](SuspectBook& book) {
+    SuspectUpdate update;
+    m_suspects.use([&](SuspectTracker& book) {
         for (const auto& it : book.takeNewlyBlocked())
-            logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", book.endedLives(it.request) }, { "round", static_cast<unsigned>(it.round) } });
+            logEvent(LogLevel::Warning, "request_blocked", { { "digest", it.request.text() }, { "ended_endpoints", book.endedIncarnations(it.request) }, { "round", static_cast<unsigned>(it.round) } });
         for (const auto& it : book.takeNewlyCleared())
             logEvent(LogLevel::Info, "request_cleared", { { "digest", it.text() } });
-        bool isNew = book.takeHasNews();
-        isNew = book.takeWorthRelaying() || isNew;
+        bool isNew = book.takeHasUpdate();
+        isNew = book.takeRelayDue() || isNew;
         if (isNew || now - m_suspectsSentAt >= blockedResendPeriod)
-            update = book.relayedNews(now);
+            update = book.relayedUpdate(now);
     });
     if (update.empty())
         return;
@@ -539,9 +539,9 @@
         (void)callPeer(it.peerAddress(), packMessage(MessageType::SuspectNotice, update), suspectUpdateTimeout);
 }
 
-void RequestServer::applySuspectUpdate(const SuspectNews& update)
+void RequestServer::applySuspectUpdate(const SuspectUpdate& update)
 {
-    m_suspects.use([&](SuspectBook& book) { book.onNews(update, steadyNow()); });
+    m_suspects.use([&](SuspectTracker& book) { book.onPeerUpdate(update, steadyNow()); });
 }
 
 void RequestServer::expire()
@@ -549,7 +549,7 @@
     m_ledgers.expire();
     m_table.expire(steadyNow(), m_options.retention);
     for (const auto& it : m_table.all()) {
-        if (it->answer().outcome() == RequestOutcome::Running && it->unreadFor() > m_options.runner.unreadLimit)
+        if (it->answer().outcome() == RequestOutcome::Running && it->timeWithoutReader() > m_options.runner.unreadLimit)
             it->interrupt(Interruption::Cancelled);
     }
     m_metrics.set("onyxnotch_running_requests", static_cast<double>(m_table.runningCount()));
--- a/modules/gateway/request_server.h
+++ b/modules/gateway/request_server.h
@@ -18,7 +18,7 @@
     AdmissionOptions admission {};
     ModelRunnerOptions runner {};
     PlainCallOptions plain {};
-    LedgerBookOptions ledgers {};
+    LedgerRegistryOptions ledgers {};
     HandoverOptions handover {};
     double retriesPerRequest { 0.2 }; // Retry budget of this node: allowed retries per admitted request.
     double retryBurst { 10 }; // Largest number of retries that the budget can accumulate.
@@ -29,7 +29,7 @@
     Milliseconds requestDeadline { 300000 }; // Time limit for each request.
     Milliseconds retention { 60000 }; // How long finished answers are kept for clients that repeat or resume a request.
     Milliseconds defaultRetryAfter { 1000 }; // Retry-After of refusals for which there is no better estimate.
-    unsigned hardMaximumActive { 3600 }; // Limit on running requests, including those that other nodes hand over.
+    unsigned maximumActiveWithHandovers { 3600 }; // Limit on running requests, including those that other nodes hand over.
 };
 
 // The team that a client's API key belongs to, with the team's limits and permissions.
@@ -95,7 +95,7 @@
     bool isShuttingDown() const { return m_isShuttingDown; }
     // Retry-After for a request to `service` that was not executed: at least until the first endpoint is available, if all of the
     // service's endpoints are in backoff.
-    Milliseconds retryAfterFor(const std::string& service) const { return std::max(m_directory.firstBack(service), m_options.defaultRetryAfter); }
+    Milliseconds retryAfterFor(const std::string& service) const { return std::max(m_directory.earliestAvailable(service), m_options.defaultRetryAfter); }
     std::size_t runningCount() const { return m_table.runningCount(); }
     std::size_t ledgerEntries() const { return m_ledgers.entryCount(); }
     // HTTP addresses of the node to which a request was handed over; empty if not known.
@@ -152,7 +152,7 @@
     void expire();
     // Sends this gateway's knowledge about suspected requests (during which endpoints crashed) to a few other gateways, which relay it.
     void sendSuspectUpdate();
-    void applySuspectUpdate(const SuspectNews&);
+    void applySuspectUpdate(const SuspectUpdate&);
     // Refuses a request that is blocked, or suspected and already running, because endpoints crashed while they processed it.
     std::optional<RequestError> suspectedRequestError(const RequestDigest&);
     void abandonPlainCalls();
@@ -168,7 +168,7 @@
     SharedSuspects m_suspects;
     SteadyTime m_suspectsSentAt {}; // Accessed only by the timer callback.
     ModelRunner m_runner;
-    LedgerBook m_ledgers;
+    LedgerRegistry m_ledgers;
     RequestTable m_table;
     Handover m_handover;
     std::atomic<bool> m_isShuttingDown { false };
--- a/modules/gateway/request_server_shutdown.cpp
+++ b/modules/gateway/request_server_shutdown.cpp
@@ -19,7 +19,7 @@
     if (m_isShuttingDown.exchange(true))
         return;
     m_membership.announceLeaving();
-    m_handover.giveLedgers(deadline);
+    m_handover.transferLedgers(deadline);
 }
 
 void RequestServer::handOver(SteadyTime deadline)
@@ -45,7 +45,7 @@
         if (request->answer().outcome() == RequestOutcome::Running)
             startThread(request);
     };
-    m_handover.giveRequests(requests, deadline, onMoved, onNotMoved);
+    m_handover.transferRequests(requests, deadline, onMoved, onNotMoved);
     // Calls to plain services can't be moved: they may use the remaining time.
     auto plainCallDeadline = deadline - finalMessageReserve;
     std::unique_lock lock(m_mutex);
@@ -84,18 +84,18 @@
 {
     if (m_isShuttingDown)
         return { .accepted = false, .reason = "this node is leaving itself" };
-    if (m_table.runningCount() + batch.requests.size() > m_options.hardMaximumActive)
+    if (m_table.runningCount() + batch.requests.size() > m_options.maximumActiveWithHandovers)
         return { .accepted = false, .reason = "this node runs as many requests as it may" };
     for (const auto& it : batch.requests) {
         auto request = std::make_shared<ActiveRequest>(it);
         m_ledgers.setHolder(it.description.id, m_options.node, m_options.incarnation);
         if (!m_table.add(request))
             continue;
-        request->trace(m_options.node, "taken_over", "from " + batch.giverNode + " at offset " + std::to_string(it.text.size()));
+        request->trace(m_options.node, "taken_over", "from " + batch.senderNode + " at offset " + std::to_string(it.text.size()));
         if (it.outcome == RequestOutcome::Running)
             startThread(request);
     }
-    logEvent(LogLevel::Info, "requests_taken_over", { { "from", batch.giverNode }, { "count", batch.requests.size() } });
+    logEvent(LogLevel::Info, "requests_taken_over", { { "from", batch.senderNode }, { "count", batch.requests.size() } });
     return { .accepted = true, .reason = {} };
 }
 
@@ -104,7 +104,7 @@
     auto malformed = [](const Error& error) { return Frame { .type = MessageType::Error, .payload = error.message }; };
     HandoverReplyMessage reply;
     if (frame.type == MessageType::SuspectNotice) {
-        auto suspectUpdate = unpackMessage<SuspectNews>(frame.type, frame);
+        auto suspectUpdate = unpackMessage<SuspectUpdate>(frame.type, frame);
         if (!suspectUpdate)
             return malformed(suspectUpdate.error());
         applySuspectUpdate(suspectUpdate.value());
--- a/modules/limits/limit_words.cpp
+++ b/modules/limits/advertised_limits.cpp
@@ -1,24 +1,24 @@
-#include "modules/limits/limit_words.h"
+#include "modules/limits/advertised_limits.h"
 
 #include <algorithm>
 
 namespace Onyxnotch {
 
-LimitWord mergeLimits(const LimitWord& left, const LimitWord& right)
+AdvertisedLimit mergeLimits(const AdvertisedLimit& left, const AdvertisedLimit& right)
 {
-    if (left.sentAt > right.heardAt)
+    if (left.sentAt > right.receivedAt)
         return left;
-    if (right.sentAt > left.heardAt)
+    if (right.sentAt > left.receivedAt)
         return right;
     if (left.perSecond != right.perSecond)
         return left.perSecond < right.perSecond ? left : right;
     auto merged = left;
     merged.sentAt = std::max(left.sentAt, right.sentAt);
-    merged.heardAt = std::max(left.heardAt, right.heardAt);
+    merged.receivedAt = std::max(left.receivedAt, right.receivedAt);
     return merged;
 }
 
-bool AdvertisedLimits::update(const LimitWord& limit)
+bool AdvertisedLimits::update(const AdvertisedLimit& limit)
 {
     if (!limit.isSound())
         return false;
@@ -35,7 +35,7 @@
     return true;
 }
 
-std::optional<double> AdvertisedLimits::perSecond(const EndpointLife& life) const
+std::optional<double> AdvertisedLimits::perSecond(const EndpointIncarnation& life) const
 {
     auto it = m_limits.find(life);
     return it != m_limits.end() && it->second.isLimited() ? std::optional(it->second.perSecond) : std::nullopt;
@@ -46,15 +46,15 @@
     return static_cast<std::size_t>(std::count_if(m_limits.begin(), m_limits.end(), [](const auto& it) { return it.second.isLimited(); }));
 }
 
-std::optional<LimitWord> AdvertisedLimits::find(const EndpointLife& life) const
+std::optional<AdvertisedLimit> AdvertisedLimits::find(const EndpointIncarnation& life) const
 {
     auto it = m_limits.find(life);
     return it == m_limits.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::vector<LimitWord> AdvertisedLimits::nextToSend(std::size_t maxCount)
+std::vector<AdvertisedLimit> AdvertisedLimits::nextToSend(std::size_t maxCount)
 {
-    std::vector<LimitWord> entries;
+    std::vector<AdvertisedLimit> entries;
     auto it = m_limits.upper_bound(m_lastSent);
     for (std::size_t n = 0; n < std::min(maxCount, m_limits.size()); ++n, ++it) {
         if (it == m_limits.end())
@@ -65,11 +65,11 @@
     return entries;
 }
 
-std::vector<EndpointLife> AdvertisedLimits::removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed)
+std::vector<EndpointIncarnation> AdvertisedLimits::removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointIncarnation&)>& isUsed)
 {
-    std::vector<EndpointLife> removed;
+    std::vector<EndpointIncarnation> removed;
     for (const auto& [life, limit] : m_limits) {
-        bool isExpired = fleetMilliseconds > limit.heardAt + m_options.retentionMilliseconds;
+        bool isExpired = fleetMilliseconds > limit.receivedAt + m_options.retentionMilliseconds;
         if (isExpired && (!limit.isLimited() || !isUsed(life)))
             removed.push_back(life);
     }
--- a/modules/limits/limit_words.h
+++ b/modules/limits/advertised_limits.h
@@ -3,7 +3,7 @@
 // nodes received. A pure state machine. Not thread-safe.
 #pragma once
 
-#include "modules/traffic/endpoint_life.h"
+#include "modules/traffic/endpoint_incarnation.h"
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -17,25 +17,25 @@
 constexpr double unlimitedPerSecond = 1e6;
 
 // The limit that one answer advertised. Timestamps are milliseconds on the clock that the nodes of the fleet agree on.
-struct LimitWord {
-    EndpointLife endpoint {};
+struct AdvertisedLimit {
+    EndpointIncarnation endpoint {};
     double perSecond { unlimitedPerSecond };
     std::uint64_t sentAt { 0 }; // Time at which the request was sent whose answer advertised the limit.
-    std::uint64_t heardAt { 0 }; // Time at which that answer was received.
+    std::uint64_t receivedAt { 0 }; // Time at which that answer was received.
 
-    bool operator==(const LimitWord&) const = default;
+    bool operator==(const AdvertisedLimit&) const = default;
 
     bool isLimited() const { return perSecond < unlimitedPerSecond; }
     // Returns whether the values are usable: times are calculated from the rate.
     bool isSound() const { return perSecond >= 0 && perSecond <= unlimitedPerSecond && !endpoint.id.empty(); }
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(endpoint, perSecond, sentAt, heardAt); }
+    void serialize(Archive& archive) { archive(endpoint, perSecond, sentAt, receivedAt); }
 };
 
 // Returns which of two advertised limits of the same incarnation is in force. Each was advertised at an unknown time between `sentAt` and
-// `heardAt`. If these intervals overlap, the order is unknown and the lower limit is in force; otherwise the later one.
-LimitWord mergeLimits(const LimitWord&, const LimitWord&);
+// `receivedAt`. If these intervals overlap, the order is unknown and the lower limit is in force; otherwise the later one.
+AdvertisedLimit mergeLimits(const AdvertisedLimit&, const AdvertisedLimit&);
 
 struct AdvertisedLimitsOptions {
     // How long an entry without a limit, or of an endpoint that is not in use, is kept: an older answer may arrive this late.
@@ -51,23 +51,23 @@
     }
 
     // Records an advertised limit. Returns true if the limit in force changed.
-    bool update(const LimitWord&);
+    bool update(const AdvertisedLimit&);
     // The limit in force; no value if the endpoint is unlimited.
-    std::optional<double> perSecond(const EndpointLife&) const;
-    bool hasEntry(const EndpointLife& life) const { return m_limits.contains(life); }
+    std::optional<double> perSecond(const EndpointIncarnation&) const;
+    bool hasEntry(const EndpointIncarnation& life) const { return m_limits.contains(life); }
     bool isEmpty() const { return m_limits.empty(); }
     std::size_t limitedCount() const;
     // Returns at most `maxCount` entries to send to other nodes. Successive calls rotate through all of them.
-    std::vector<LimitWord> nextToSend(std::size_t maxCount);
+    std::vector<AdvertisedLimit> nextToSend(std::size_t maxCount);
     // Returns the entry of one incarnation, also if it says that there is no limit.
-    std::optional<LimitWord> find(const EndpointLife&) const;
+    std::optional<AdvertisedLimit> find(const EndpointIncarnation&) const;
     // Removes expired entries and returns their incarnations.
-    std::vector<EndpointLife> removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed);
+    std::vector<EndpointIncarnation> removeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointIncarnation&)>& isUsed);
 
 private:
     AdvertisedLimitsOptions m_options;
-    std::map<EndpointLife, LimitWord> m_limits {};
-    EndpointLife m_lastSent {};
+    std::map<EndpointIncarnation, AdvertisedLimit> m_limits {};
+    EndpointIncarnation m_lastSent {};
 };
 
 } // namespace Onyxnotch
--- a/modules/limits/endpoint_credits.cpp
+++ b/modules/limits/endpoint_credits.cpp
@@ -43,7 +43,7 @@
     return creditRequests;
 }
 
-void EndpointCredits::setLimit(const EndpointLife& life, std::optional<double> perSecond, SteadyTime now)
+void EndpointCredits::setLimit(const EndpointIncarnation& life, std::optional<double> perSecond, SteadyTime now)
 {
     auto [it, isNew] = m_buckets.try_emplace(hashOf(life), Bucket { .updatedAt = now, .startedAt = now });
     auto& bucket = it->second;
@@ -53,7 +53,7 @@
     bucket.perSecond = perSecond.value_or(bucket.perSecond);
 }
 
-void EndpointCredits::forget(const EndpointLife& life)
+void EndpointCredits::forget(const EndpointIncarnation& life)
 {
     auto endpoint = hashOf(life);
     m_buckets.erase(endpoint);
@@ -61,7 +61,7 @@
         peer.uses.erase(endpoint);
 }
 
-bool EndpointCredits::take(const EndpointLife& life, double creditRequests, SteadyTime now)
+bool EndpointCredits::take(const EndpointIncarnation& life, double creditRequests, SteadyTime now)
 {
     auto it = m_buckets.find(hashOf(life));
     if (it == m_buckets.end() || !it->second.isLimited)
@@ -84,7 +84,7 @@
     return true;
 }
 
-void EndpointCredits::giveBack(const EndpointLife& life, SteadyTime now)
+void EndpointCredits::refundCredit(const EndpointIncarnation& life, SteadyTime now)
 {
     auto it = m_buckets.find(hashOf(life));
     if (it == m_buckets.end())
@@ -94,7 +94,7 @@
     bucket.returnedCreditsExpireAt = now + m_options.returnedCreditLifetime;
 }
 
-SteadyTime EndpointCredits::nextCreditAt(const EndpointLife& life, SteadyTime now) const
+SteadyTime EndpointCredits::nextCreditAt(const EndpointIncarnation& life, SteadyTime now) const
 {
     auto it = m_buckets.find(hashOf(life));
     if (it == m_buckets.end() || !it->second.isLimited || (it->second.returnedCredits > 0 && now < it->second.returnedCreditsExpireAt))
--- a/modules/limits/endpoint_credits.h
+++ b/modules/limits/endpoint_credits.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "core/clock.h"
-#include "modules/traffic/endpoint_life.h"
+#include "modules/traffic/endpoint_incarnation.h"
 #include <map>
 #include <optional>
 #include <random>
@@ -62,20 +62,20 @@
     }
 
     // Sets the endpoint's limit as of `now`; no value means unlimited.
-    void setLimit(const EndpointLife&, std::optional<double> perSecond, SteadyTime now);
-    void forget(const EndpointLife&);
+    void setLimit(const EndpointIncarnation&, std::optional<double> perSecond, SteadyTime now);
+    void forget(const EndpointIncarnation&);
     // Takes a credit for one request to the endpoint. `creditRequests` is the number of new credit requests since the last call, for the
     // measured rate. Returns true if the request may be sent.
-    bool take(const EndpointLife&, double creditRequests, SteadyTime now);
+    bool take(const EndpointIncarnation&, double creditRequests, SteadyTime now);
     // Returns a credit whose request was not sent.
-    void giveBack(const EndpointLife&, SteadyTime now);
+    void refundCredit(const EndpointIncarnation&, SteadyTime now);
     // Expected time of the next credit; `now` if one is available or none is needed.
-    SteadyTime nextCreditAt(const EndpointLife&, SteadyTime now) const;
+    SteadyTime nextCreditAt(const EndpointIncarnation&, SteadyTime now) const;
     // Sets the propagation time, which depends on the distance between the nodes.
-    void setNewsTime(Milliseconds propagationTime) { m_options.propagationTime = propagationTime; }
+    void setPropagationTime(Milliseconds propagationTime) { m_options.propagationTime = propagationTime; }
     // Sets the share of recently known nodes that are reachable, between 0 and 1. Grants of the unreachable nodes are unknown, so the
     // rate is reduced to this share.
-    void setSpeakingPart(double share) { m_reachableShare = share; }
+    void setReachableShare(double share) { m_reachableShare = share; }
     // Returns the state of at most `maxCount` limited endpoints to send to other nodes. Successive calls rotate through all of them.
     std::vector<CreditUse> nextUsesToSend(std::size_t maxCount, SteadyTime now);
     void onPeerUses(const std::string& node, std::uint64_t lifetime, const std::vector<CreditUse>&, SteadyTime now);
--- a/modules/limits/endpoint_limits.cpp
+++ b/modules/limits/endpoint_limits.cpp
@@ -4,7 +4,7 @@
 
 namespace Onyxnotch {
 
-bool EndpointLimits::hear(const LimitWord& word, SteadyTime now)
+bool EndpointLimits::onAdvertisedLimit(const AdvertisedLimit& word, SteadyTime now)
 {
     if (!m_limits.update(word))
         return false;
@@ -12,18 +12,18 @@
     return true;
 }
 
-bool EndpointLimits::onNews(const LimitNews& message, std::uint64_t fleetMilliseconds, SteadyTime now)
+bool EndpointLimits::onPeerUpdate(const LimitUpdate& message, std::uint64_t fleetMilliseconds, SteadyTime now)
 {
     bool hasChanged = false;
     for (const auto& it : message.words) {
-        bool isFromFuture = std::max(it.heardAt, it.sentAt) > fleetMilliseconds + m_options.maxClockLeadMilliseconds;
-        hasChanged = (!isFromFuture && hear(it, now)) || hasChanged;
+        bool isFromFuture = std::max(it.receivedAt, it.sentAt) > fleetMilliseconds + m_options.maxClockLeadMilliseconds;
+        hasChanged = (!isFromFuture && onAdvertisedLimit(it, now)) || hasChanged;
     }
     m_credits.onPeerUses(message.node, message.lifetime, message.uses, now);
     return hasChanged;
 }
 
-SteadyTime EndpointLimits::creditAt(const EndpointLife& life, SteadyTime now) const
+SteadyTime EndpointLimits::creditAt(const EndpointIncarnation& life, SteadyTime now) const
 {
     if (!isLimited(life))
         return now;
@@ -33,7 +33,7 @@
     return it == m_deniedUntil.end() ? now : std::max(now, it->second);
 }
 
-void EndpointLimits::forgetOld(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed, SteadyTime now)
+void EndpointLimits::purgeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointIncarnation&)>& isUsed, SteadyTime now)
 {
     for (const auto& it : m_limits.removeExpired(fleetMilliseconds, isUsed))
         m_credits.forget(it);
--- a/modules/limits/endpoint_limits.h
+++ b/modules/limits/endpoint_limits.h
@@ -3,19 +3,19 @@
 // thread only.
 #pragma once
 
+#include "modules/limits/advertised_limits.h"
 #include "modules/limits/endpoint_credits.h"
-#include "modules/limits/limit_words.h"
 
 namespace Onyxnotch {
 
 // Message between nodes with advertised limits and granted credits.
-struct LimitNews {
+struct LimitUpdate {
     std::string node {};
     std::uint64_t lifetime { 0 };
-    std::vector<LimitWord> words {};
+    std::vector<AdvertisedLimit> words {};
     std::vector<CreditUse> uses {};
 
-    bool operator==(const LimitNews&) const = default;
+    bool operator==(const LimitUpdate&) const = default;
 
     template <class Archive>
     void serialize(Archive& archive) { archive(node, lifetime, words, uses); }
@@ -25,7 +25,7 @@
     AdvertisedLimitsOptions words {};
     EndpointCreditsOptions credits {};
     // Maximum entries of one message, about 4 kB and 3 kB. If there are more, successive messages rotate through them.
-    std::size_t wordsTold { 64 };
+    std::size_t limitsPerMessage { 64 };
     std::size_t usesPerMessage { 128 };
     // An advertised limit whose timestamps lie further in the future than this comes from a node with a wrong clock, and is ignored: it
     // would override all limits that are advertised until then.
@@ -42,40 +42,40 @@
     }
 
     // Records an advertised limit. Returns true if the limit in force changed.
-    bool hear(const LimitWord&, SteadyTime now);
+    bool onAdvertisedLimit(const AdvertisedLimit&, SteadyTime now);
     // Records the advertised limits and the granted credits that another node reports. `fleetMilliseconds` is the current time on the
     // clock that the fleet agrees on. Returns true if a limit in force changed.
-    bool onNews(const LimitNews&, std::uint64_t fleetMilliseconds, SteadyTime now);
-    bool knows(const EndpointLife& life) const { return m_limits.hasEntry(life); }
-    std::optional<LimitWord> word(const EndpointLife& life) const { return m_limits.find(life); }
-    std::optional<double> perSecond(const EndpointLife& life) const { return m_limits.perSecond(life); }
-    bool isLimited(const EndpointLife& life) const { return m_limits.perSecond(life).has_value(); }
+    bool onPeerUpdate(const LimitUpdate&, std::uint64_t fleetMilliseconds, SteadyTime now);
+    bool knows(const EndpointIncarnation& life) const { return m_limits.hasEntry(life); }
+    std::optional<AdvertisedLimit> word(const EndpointIncarnation& life) const { return m_limits.find(life); }
+    std::optional<double> perSecond(const EndpointIncarnation& life) const { return m_limits.perSecond(life); }
+    bool isLimited(const EndpointIncarnation& life) const { return m_limits.perSecond(life).has_value(); }
     std::size_t limited() const { return m_limits.limitedCount(); }
     bool isEmpty() const { return m_limits.isEmpty(); }
 
     // Whether this node grants credits itself instead of requesting them from another node.
-    void setGivesCredits(bool givesCredits) { m_grantsCredits = givesCredits; }
-    bool givesCredits() const { return m_grantsCredits; }
-    void setNewsTime(Milliseconds propagationTime) { m_credits.setNewsTime(propagationTime); }
-    void setSpeakingPart(double share) { m_credits.setSpeakingPart(share); }
-    bool take(const EndpointLife& life, double creditRequests, SteadyTime now) { return m_credits.take(life, creditRequests, now); }
-    void giveBack(const EndpointLife& life, SteadyTime now) { m_credits.giveBack(life, now); }
+    void setGrantsCredits(bool grantsCredits) { m_grantsCredits = grantsCredits; }
+    bool grantsCredits() const { return m_grantsCredits; }
+    void setPropagationTime(Milliseconds propagationTime) { m_credits.setPropagationTime(propagationTime); }
+    void setReachableShare(double share) { m_credits.setReachableShare(share); }
+    bool take(const EndpointIncarnation& life, double creditRequests, SteadyTime now) { return m_credits.take(life, creditRequests, now); }
+    void refundCredit(const EndpointIncarnation& life, SteadyTime now) { m_credits.refundCredit(life, now); }
     // The node that grants credits has none for this endpoint before `until`.
-    void noteDenied(const EndpointLife& life, SteadyTime until) { m_deniedUntil[life] = until; }
+    void onCreditDenied(const EndpointIncarnation& life, SteadyTime until) { m_deniedUntil[life] = until; }
     // Earliest time at which a request to the endpoint may get a credit; `now` if it may get one immediately or needs none.
-    SteadyTime creditAt(const EndpointLife&, SteadyTime now) const;
+    SteadyTime creditAt(const EndpointIncarnation&, SteadyTime now) const;
     // Expected time of the next credit in this node's own bucket, whether or not the node grants credits.
-    SteadyTime nextCredit(const EndpointLife& life, SteadyTime now) const { return m_credits.nextCreditAt(life, now); }
+    SteadyTime nextCredit(const EndpointIncarnation& life, SteadyTime now) const { return m_credits.nextCreditAt(life, now); }
 
-    std::vector<LimitWord> takeWordsTold() { return m_limits.nextToSend(m_options.wordsTold); }
-    std::vector<CreditUse> takeUsesTold(SteadyTime now) { return m_credits.nextUsesToSend(m_options.usesPerMessage, now); }
-    void forgetOld(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointLife&)>& isUsed, SteadyTime now);
+    std::vector<AdvertisedLimit> limitsToSend() { return m_limits.nextToSend(m_options.limitsPerMessage); }
+    std::vector<CreditUse> creditUsesToSend(SteadyTime now) { return m_credits.nextUsesToSend(m_options.usesPerMessage, now); }
+    void purgeExpired(std::uint64_t fleetMilliseconds, const std::function<bool(const EndpointIncarnation&)>& isUsed, SteadyTime now);
 
 private:
     EndpointLimitsOptions m_options;
     AdvertisedLimits m_limits;
     EndpointCredits m_credits;
-    std::map<EndpointLife, SteadyTime> m_deniedUntil {};
+    std::map<EndpointIncarnation, SteadyTime> m_deniedUntil {};
     bool m_grantsCredits { true };
 };
 
--- a/modules/limits/return_times.h
+++ b/modules/limits/retry_delays.h
@@ -9,14 +9,14 @@
 
 namespace Onyxnotch {
 
-struct ReturnTimesOptions {
+struct RetryDelaysOptions {
     // Upper bound of the returned delay: clients that are scheduled earlier may not retry, and the capacity may grow.
     Milliseconds maxDelay { 10000 };
 };
 
-class ReturnTimes {
+class RetryDelays {
 public:
-    explicit ReturnTimes(const ReturnTimesOptions& options = {})
+    explicit RetryDelays(const RetryDelaysOptions& options = {})
         : m_options(options)
     {
     }
@@ -37,7 +37,7 @@
 private:
     static constexpr double minReturnsPerSecond = 0.01;
 
-    ReturnTimesOptions m_options;
+    RetryDelaysOptions m_options;
     std::map<std::string, SteadyTime> m_nextReturnAt {}; // Earliest retry time of the next client, by service.
 };
 
--- a/modules/limits/team_limits.cpp
+++ b/modules/limits/team_limits.cpp
@@ -134,7 +134,7 @@
     m_ownTotals[team] -= amount;
 }
 
-void TeamLimits::onPeer(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now)
+void TeamLimits::onPeerTotals(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now)
 {
     if (m_usesFleetTotals)
         return;
@@ -159,7 +159,7 @@
     }
 }
 
-void TeamLimits::onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt)
+void TeamLimits::onFleetTotals(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt)
 {
     bool isFirst = !m_usesFleetTotals;
     if (isFirst)
--- a/modules/limits/team_limits.h
+++ b/modules/limits/team_limits.h
@@ -15,7 +15,7 @@
     Milliseconds forgetAfter { 20000 }; // A peer without reports for this duration is removed, and its share goes to the other nodes.
     // Startup phase, within which the counters of all peers should arrive: eight gossip periods. Until it ends, a node spends only the
     // even shares of itself and of the peers that have reported.
-    Milliseconds cautiousFor { 2000 };
+    Milliseconds startupPhase { 2000 };
     // Number of nodes in the fleet including this one, until the store provides it. The users' sites have nine.
     unsigned expectedNodes { 10 };
     // A large request may overdraw the level by several seconds of the rate. Meanwhile small requests, each below `smallRequestShare` of
@@ -36,14 +36,14 @@
     // Refunds the amount of a request that was admitted but did not run.
     void refund(const std::string& team, double amount);
     // Records the totals that a peer reports for its current incarnation. `lifetime` identifies the incarnation and `age` is its uptime.
-    void onPeer(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now);
+    void onPeerTotals(const std::string& node, std::uint64_t lifetime, Milliseconds age, const std::map<std::string, double>& totals, SteadyTime now);
     // Records the aggregate of all other nodes of a large fleet, as of `receivedAt`. `totals` comes from `nodes` reporting nodes, and
     // only its growth counts. `silentNodes` reported until recently: they may be cut off and still admit their share. After the first
     // call, reports of single peers are ignored.
-    void onFleet(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt);
+    void onFleetTotals(unsigned nodes, unsigned silentNodes, const std::map<std::string, double>& totals, SteadyTime receivedAt);
     // For fleets in which a peer reports less often than each gossip period.
     void setFreshFor(Milliseconds freshFor) { m_options.freshFor = freshFor; }
-    void setCautiousFor(Milliseconds cautiousFor) { m_options.cautiousFor = cautiousFor; }
+    void setStartupPhase(Milliseconds startupPhase) { m_options.startupPhase = startupPhase; }
     // Sets the best known number of nodes, including this one.
     void setExpectedNodes(unsigned nodes) { m_options.expectedNodes = nodes; }
     unsigned expectedNodes() const { return m_options.expectedNodes; }
@@ -76,7 +76,7 @@
     };
 
     void advance(const std::string& team, Bucket&, SteadyTime now);
-    bool isStartingUp(SteadyTime now) const { return now - m_startedAt < m_options.cautiousFor; }
+    bool isStartingUp(SteadyTime now) const { return now - m_startedAt < m_options.startupPhase; }
     double reportingNodes() const; // Number of reporting nodes, including this one.
     // Share of the rate that may be spent. Below 1 during the startup phase: the share of the reporting nodes and this one.
     double spendableShare(SteadyTime now) const;
--- a/modules/limits/usage_ledger.h
+++ b/modules/limits/usage_ledger.h
@@ -18,15 +18,15 @@
     {
     }
 
-    void count(const std::string& team, std::uint64_t trueMilliseconds)
+    void count(const std::string& team, std::uint64_t fleetTimeMilliseconds)
     {
-        ++m_windows[trueMilliseconds / m_windowMilliseconds][team];
+        ++m_windows[fleetTimeMilliseconds / m_windowMilliseconds][team];
         while (m_windows.size() > keptWindows)
             m_windows.erase(m_windows.begin());
     }
     const WindowCounts& windows() const { return m_windows; }
     // Returns the windows that had not ended at this time.
-    WindowCounts openSince(std::uint64_t trueMilliseconds) const { return { m_windows.lower_bound(trueMilliseconds / m_windowMilliseconds), m_windows.end() }; }
+    WindowCounts openSince(std::uint64_t fleetTimeMilliseconds) const { return { m_windows.lower_bound(fleetTimeMilliseconds / m_windowMilliseconds), m_windows.end() }; }
 
 private:
     // A report is due two windows after the end of its window; the other windows cover times at which the store is unreachable.
--- a/modules/peers/fleet_relay.cpp
+++ b/modules/peers/fleet_relay.cpp
@@ -12,9 +12,9 @@
     std::int64_t steadyMilliseconds(SteadyTime now) { return std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count(); }
 
     // Removes duplicate endpoint incarnations, then all after the first `most`; each row lists its newest first.
-    void keepDistinct(std::vector<EndpointLife>& lives, std::size_t most)
+    void keepDistinct(std::vector<EndpointIncarnation>& lives, std::size_t most)
     {
-        std::set<EndpointLife> seen;
+        std::set<EndpointIncarnation> seen;
         std::erase_if(lives, [&](const auto& it) { return !seen.insert(it).second; });
         if (lives.size() > most)
             lives.resize(most);
@@ -44,7 +44,7 @@
 void FleetRelay::setOwnRow(const PeerRow& row, SteadyTime now)
 {
     m_ownRow = row;
-    m_ownClockDifference = static_cast<std::int64_t>(row.trueMilliseconds) - steadyMilliseconds(now);
+    m_ownClockDifference = static_cast<std::int64_t>(row.fleetTimeMilliseconds) - steadyMilliseconds(now);
     m_self = row.contact();
     auto contacts = m_table.contactsIn(m_options.zone);
     contacts.push_back(m_self);
@@ -66,7 +66,7 @@
 }
 
 // Returns false for an aggregate that is not newer than the stored one of the same relay node.
-bool FleetRelay::storeIfNewer(std::map<std::string, ReceivedAggregate>& aggregatesByRelay, const GroupSum& sum, SteadyTime now)
+bool FleetRelay::storeIfNewer(std::map<std::string, ReceivedAggregate>& aggregatesByRelay, const GroupAggregate& sum, SteadyTime now)
 {
     auto [it, added] = aggregatesByRelay.try_emplace(sum.relay.node);
     auto& known = it->second;
@@ -74,20 +74,20 @@
     if (older)
         return false;
     known.sum = sum;
-    known.heardAt = now;
-    known.clockDifference = static_cast<std::int64_t>(sum.trueMilliseconds) - steadyMilliseconds(now);
+    known.receivedAt = now;
+    known.clockDifference = static_cast<std::int64_t>(sum.fleetTimeMilliseconds) - steadyMilliseconds(now);
     refreshContacts(sum, now);
     return true;
 }
 
-void FleetRelay::refreshContacts(const GroupSum& sum, SteadyTime now)
+void FleetRelay::refreshContacts(const GroupAggregate& sum, SteadyTime now)
 {
     m_table.refreshContact(sum.relay, now);
     for (const auto& it : sum.contacts)
         m_table.refreshContact(it, now);
 }
 
-void FleetRelay::onZoneAggregate(const GroupSum& sum, SteadyTime now)
+void FleetRelay::onZoneAggregate(const GroupAggregate& sum, SteadyTime now)
 {
     if (sum.relay.zone.empty() || sum.relay.zone == m_options.zone)
         return;
@@ -98,7 +98,7 @@
     zone.choice.onAnswer(sum.relay.node, now);
 }
 
-const FleetRelay::OwnRow* FleetRelay::includedOwnRow(const GroupSum& sum) const
+const FleetRelay::OwnRow* FleetRelay::includedOwnRow(const GroupAggregate& sum) const
 {
     auto counted = sum.counted.find(shortNameOf(m_options.node));
     if (counted == sum.counted.end())
@@ -107,7 +107,7 @@
     return it == m_ownRows.end() ? nullptr : &*it;
 }
 
-void FleetRelay::onFleetAggregate(const GroupSum& sum, SteadyTime now)
+void FleetRelay::onFleetAggregate(const GroupAggregate& sum, SteadyTime now)
 {
     if (sum.relay.zone != m_options.zone || sum.relay.node == m_options.node)
         return;
@@ -123,7 +123,7 @@
     m_totalsReceivedAt = now;
 }
 
-GroupSum FleetRelay::withoutOwnRow(GroupSum sum) const
+GroupAggregate FleetRelay::withoutOwnRow(GroupAggregate sum) const
 {
     const auto* own = includedOwnRow(sum);
     if (!own)
@@ -138,7 +138,7 @@
     for (const auto& [service, demand] : m_ownRow.demand)
         sum.demand[service] -= demand;
     std::erase_if(sum.dutyHolders, [&](const auto& it) { return it.node == m_options.node; });
-    std::erase_if(sum.formerHolders, [&](const auto& it) { return it.node == m_options.node; });
+    std::erase_if(sum.formerDutyHolders, [&](const auto& it) { return it.node == m_options.node; });
     std::erase_if(sum.watchers, [&](const auto& it) { return it.node == m_options.node; });
     // The next candidate is not in the aggregate; it is enough to know that this node is the first one.
     if (sum.firstCandidate == m_options.node)
@@ -170,9 +170,9 @@
     return rows;
 }
 
-GroupSum FleetRelay::zoneAggregate(SteadyTime now, bool includeOwnRow)
+GroupAggregate FleetRelay::zoneAggregate(SteadyTime now, bool includeOwnRow)
 {
-    GroupSum sum { .relay = m_self };
+    GroupAggregate sum { .relay = m_self };
     auto rows = freshRows(now);
     if (includeOwnRow)
         rows.push_back(&m_ownRow);
@@ -187,7 +187,7 @@
         sum.watchers.resize(m_options.watchersPerAggregate);
     sum.silentNodes = m_table.silentIn(m_options.zone, m_options.silentFor, now);
     sum.teamTotals = (includeOwnRow ? m_zoneTotals : m_otherTotals).totals();
-    limitNews(sum.suspects);
+    truncateUpdate(sum.suspects);
     return sum;
 }
 
@@ -196,21 +196,21 @@
 {
     const ReceivedAggregate* best = nullptr;
     for (const auto& [relay, received] : aggregatesByRelay) {
-        bool fresh = now - received.heardAt <= m_options.freshFor;
+        bool fresh = now - received.receivedAt <= m_options.freshFor;
         if (fresh && (!best || received.sum.nodes > best->sum.nodes))
             best = &received;
     }
     return best;
 }
 
-GroupSum FleetRelay::fleetAggregate(SteadyTime now, bool includeOwnRow)
+GroupAggregate FleetRelay::fleetAggregate(SteadyTime now, bool includeOwnRow)
 {
     auto sum = zoneAggregate(now, includeOwnRow);
     for (auto& [name, zone] : m_remoteZones) {
         std::uint32_t silent = 0;
         for (const auto& [relay, received] : zone.aggregatesByRelay)
             silent = std::max(silent, received.sum.nodes);
-        std::erase_if(zone.aggregatesByRelay, [&](const auto& it) { return now - it.second.heardAt > m_options.silentFor; });
+        std::erase_if(zone.aggregatesByRelay, [&](const auto& it) { return now - it.second.receivedAt > m_options.silentFor; });
         if (const auto* best = mostCompleteOf(zone.aggregatesByRelay, now))
             addGroup(sum, best->sum, m_options.zone);
         else if (!zone.aggregatesByRelay.empty())
@@ -219,11 +219,11 @@
             sum.teamTotals[team] += total;
     }
     keepDistinct(sum.leavingEndpoints, m_options.leavingMarksPerAggregate);
-    limitNews(sum.suspects);
+    truncateUpdate(sum.suspects);
     return sum;
 }
 
-void FleetRelay::addContacts(GroupSum& sum, SteadyTime now)
+void FleetRelay::addContacts(GroupAggregate& sum, SteadyTime now)
 {
     sum.contacts = m_ownZoneRelays;
     auto rows = m_table.alive(now);
@@ -240,14 +240,14 @@
     }
 }
 
-void FleetRelay::setCommonFields(GroupSum& sum, SteadyTime now)
+void FleetRelay::setCommonFields(GroupAggregate& sum, SteadyTime now)
 {
     sum.sequence = ++m_sequence;
-    sum.trueMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds(now) + clockDifference(m_ownClockDifference, now));
+    sum.fleetTimeMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds(now) + clockDifference(m_ownClockDifference, now));
     addContacts(sum, now);
 }
 
-FleetRelay::AddressedAggregate FleetRelay::zoneTelling(SteadyTime now)
+FleetRelay::AddressedAggregate FleetRelay::outgoingZoneAggregate(SteadyTime now)
 {
     AddressedAggregate outgoing { .sum = zoneAggregate(now, true) };
     outgoing.sum.counted.clear();
@@ -270,7 +270,7 @@
             receivers.push_back(it.gossipAddress);
         // Also send to relay nodes that send to this one, as they expect its aggregates, even if this node did not choose them.
         for (const auto& [relay, received] : zone.aggregatesByRelay) {
-            if (now - received.heardAt <= m_options.freshFor)
+            if (now - received.receivedAt <= m_options.freshFor)
                 receivers.push_back(received.sum.relay.gossipAddress);
         }
         std::sort(receivers.begin(), receivers.end());
@@ -310,7 +310,7 @@
     return receivers;
 }
 
-FleetRelay::AddressedAggregate FleetRelay::fleetTelling(SteadyTime now)
+FleetRelay::AddressedAggregate FleetRelay::outgoingFleetAggregate(SteadyTime now)
 {
     AddressedAggregate outgoing { .sum = fleetAggregate(now, true) };
     // Nodes of a zone fetch documents from its relay nodes, which fetch them first. Otherwise all nodes of the fleet would fetch them from
@@ -325,7 +325,7 @@
 
 std::optional<FleetRelay::Others> FleetRelay::others(SteadyTime now)
 {
-    std::optional<GroupSum> sum;
+    std::optional<GroupAggregate> sum;
     if (isRelay(now)) {
         auto own = fleetAggregate(now, false);
         if (own.nodes > 0) {
@@ -342,16 +342,16 @@
     if (!sum)
         return std::nullopt;
     for (const auto& [relay, received] : m_fleetAggregates) {
-        if (now - received.heardAt > m_options.freshFor)
+        if (now - received.receivedAt > m_options.freshFor)
             continue;
-        takeNewer(sum->endpoints, received.sum.endpoints, m_options.zone);
-        takeNewer(sum->configuration, received.sum.configuration, m_options.zone);
+        replaceIfNewer(sum->endpoints, received.sum.endpoints, m_options.zone);
+        replaceIfNewer(sum->configuration, received.sum.configuration, m_options.zone);
     }
     // A node that has just become a relay node lacks the zones from which it has received nothing yet: count their nodes as silent.
     auto recentMaximum = m_recentNodes.take(sum->nodes, now, m_options.silentFor);
     sum->silentNodes = std::max(sum->silentNodes, recentMaximum - sum->nodes);
     sum->teamTotals = m_fleetTotals.totals();
-    return Others { .sum = std::move(*sum), .heardAt = m_totalsReceivedAt };
+    return Others { .sum = std::move(*sum), .receivedAt = m_totalsReceivedAt };
 }
 
 std::int64_t FleetRelay::clockDifference(std::int64_t own, SteadyTime now) const
@@ -360,7 +360,7 @@
     differences.push_back(own);
     auto add = [&](const auto& aggregatesByRelay) {
         for (const auto& [relay, received] : aggregatesByRelay) {
-            if (now - received.heardAt <= m_options.freshFor)
+            if (now - received.receivedAt <= m_options.freshFor)
                 differences.push_back(received.clockDifference);
         }
     };
--- a/modules/peers/fleet_relay.h
+++ b/modules/peers/fleet_relay.h
@@ -7,8 +7,8 @@
 // in; used by the request thread only.
 #pragma once
 
-#include "core/recent_most.h"
-#include "modules/peers/group_sum.h"
+#include "core/sliding_maximum.h"
+#include "modules/peers/group_aggregate.h"
 #include "modules/peers/peer_table.h"
 #include "modules/peers/relay_choice.h"
 #include <deque>
@@ -49,14 +49,14 @@
     // Sets this node's current row; its sequence must be higher than that of the previous one. Call once a period, before any sending.
     void setOwnRow(const PeerRow&, SteadyTime now);
     void onRow(const PeerRow&, SteadyTime now);
-    void onZoneAggregate(const GroupSum&, SteadyTime now);
-    void onFleetAggregate(const GroupSum&, SteadyTime now);
+    void onZoneAggregate(const GroupAggregate&, SteadyTime now);
+    void onFleetAggregate(const GroupAggregate&, SteadyTime now);
 
     // Time until this node's next row.
     Milliseconds period(SteadyTime now) const { return isStarting(now) ? m_options.startPeriod : m_options.period; }
     // Whether a relay node sends the fleet aggregate in this period. As it has several kilobytes, each relay node sends it in every second
     // period only, except just after the start.
-    bool isFleetTellingDue(SteadyTime now) const { return isStarting(now) || (m_ownRow.sequence + shortNameOf(m_options.node)) % 2 == 0; }
+    bool isFleetAggregateDue(SteadyTime now) const { return isStarting(now) || (m_ownRow.sequence + shortNameOf(m_options.node)) % 2 == 0; }
     // Whether the fleet, as known to this node, is large enough to need relay nodes. `listed` is the number of nodes in the store.
     bool isNeeded(unsigned listed) const;
     // Addresses of the relay nodes to which this node sends its row.
@@ -66,7 +66,7 @@
     // An aggregate of a relay node with the addresses that it is sent to.
     struct AddressedAggregate {
         std::vector<Address> receivers {};
-        GroupSum sum {};
+        GroupAggregate sum {};
     };
     // Receivers of urgent updates from a relay node: the nodes that use it as relay node, and the relay nodes of the other zones.
     std::vector<Address> urgentReceivers(SteadyTime now);
@@ -75,15 +75,15 @@
     // Nodes that use this one as relay node.
     std::vector<Address> members(SteadyTime now) const;
     const std::string& node() const { return m_options.node; }
-    AddressedAggregate zoneTelling(SteadyTime now);
-    AddressedAggregate fleetTelling(SteadyTime now);
+    AddressedAggregate outgoingZoneAggregate(SteadyTime now);
+    AddressedAggregate outgoingFleetAggregate(SteadyTime now);
 
     // Aggregate of all nodes but this one: computed by this node if it is a relay node, or received from one, whichever has more nodes.
     // Empty if nothing was received lately. The team totals are merged from all relay nodes; only their growth is meaningful, not their
     // value.
     struct Others {
-        GroupSum sum {};
-        SteadyTime heardAt {}; // Time at which the team totals were last updated.
+        GroupAggregate sum {};
+        SteadyTime receivedAt {}; // Time at which the team totals were last updated.
     };
     std::optional<Others> others(SteadyTime now);
     // As PeerTable::clockDifference, with the clock differences of received aggregates included.
@@ -91,8 +91,8 @@
 
 private:
     struct ReceivedAggregate {
-        GroupSum sum {};
-        SteadyTime heardAt {};
+        GroupAggregate sum {};
+        SteadyTime receivedAt {};
         std::int64_t clockDifference { 0 };
         bool isThisNodeIncluded { false };
     };
@@ -112,19 +112,19 @@
     };
 
     bool isStarting(SteadyTime now) const { return now - m_startedAt < m_options.startTime; }
-    bool storeIfNewer(std::map<std::string, ReceivedAggregate>&, const GroupSum&, SteadyTime now);
-    void refreshContacts(const GroupSum&, SteadyTime now);
+    bool storeIfNewer(std::map<std::string, ReceivedAggregate>&, const GroupAggregate&, SteadyTime now);
+    void refreshContacts(const GroupAggregate&, SteadyTime now);
     std::vector<const PeerRow*> freshRows(SteadyTime now) const;
     std::vector<Address> otherZonesReceivers(SteadyTime now);
     void addMembers(std::vector<Address>&, SteadyTime now) const;
-    GroupSum zoneAggregate(SteadyTime now, bool includeOwnRow);
-    GroupSum fleetAggregate(SteadyTime now, bool includeOwnRow);
-    void addContacts(GroupSum&, SteadyTime now);
+    GroupAggregate zoneAggregate(SteadyTime now, bool includeOwnRow);
+    GroupAggregate fleetAggregate(SteadyTime now, bool includeOwnRow);
+    void addContacts(GroupAggregate&, SteadyTime now);
     // Sets the fields that zone and fleet aggregates have in common: sequence, time and contacts.
-    void setCommonFields(GroupSum&, SteadyTime now);
+    void setCommonFields(GroupAggregate&, SteadyTime now);
     const ReceivedAggregate* mostCompleteOf(const std::map<std::string, ReceivedAggregate>&, SteadyTime now) const;
-    const OwnRow* includedOwnRow(const GroupSum&) const;
-    GroupSum withoutOwnRow(GroupSum) const;
+    const OwnRow* includedOwnRow(const GroupAggregate&) const;
+    GroupAggregate withoutOwnRow(GroupAggregate) const;
 
     PeerTable& m_table;
     FleetRelayOptions m_options;
@@ -141,7 +141,7 @@
     std::map<std::string, RemoteZone> m_remoteZones {}; // Other zones.
     std::map<std::string, ReceivedAggregate> m_fleetAggregates {}; // Received, by relay node of this node's zone.
     SteadyTime m_totalsReceivedAt {};
-    RecentMost m_recentNodes {}; // Largest number of nodes in one aggregate during the last `silentFor`.
+    SlidingMaximum m_recentNodes {}; // Largest number of nodes in one aggregate during the last `silentFor`.
     MergedTotals m_fleetTotals {}; // Of all other nodes, merged from the aggregates of this zone's relay nodes.
     std::map<std::string, SteadyTime> m_members {}; // Nodes that use this one as relay node, with the time of their last row.
     std::minstd_rand m_random;
--- a/modules/peers/group_sum.cpp
+++ b/modules/peers/group_aggregate.cpp
@@ -1,4 +1,4 @@
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool GroupSum::isSound() const
+bool GroupAggregate::isSound() const
 {
     constexpr std::uint32_t maximumNodeCount = 100000; // Far more than any fleet has, so that divisions by it give usable numbers.
     constexpr double maximumTokens = 1e15; // Of one team, during a relay node's incarnation.
@@ -32,18 +32,18 @@
     return areTotalsSound && isDemandSound;
 }
 
-void addLoad(std::map<ShortName, SummedLoad>& loads, ShortName endpoint, double inFlight, double waitingTokens)
+void addLoad(std::map<ShortName, AggregatedLoad>& loads, ShortName endpoint, double inFlight, double waitingTokens)
 {
     auto& load = loads[endpoint];
     load.inFlight = addSaturating(load.inFlight, inFlight);
-    load.waitingUnits = addSaturating(load.waitingUnits, waitingTokens / SummedLoad::tokensPerUnit);
+    load.waitingUnits = addSaturating(load.waitingUnits, waitingTokens / AggregatedLoad::tokensPerUnit);
 }
 
-void keepHeaviest(std::map<ShortName, SummedLoad>& loads, std::size_t maximum)
+void keepHeaviest(std::map<ShortName, AggregatedLoad>& loads, std::size_t maximum)
 {
     if (loads.size() <= maximum)
         return;
-    std::vector<std::pair<ShortName, SummedLoad>> all(loads.begin(), loads.end());
+    std::vector<std::pair<ShortName, AggregatedLoad>> all(loads.begin(), loads.end());
     auto isHeavier = [](const auto& left, const auto& right) {
         return std::pair(left.second.waitingUnits, left.second.inFlight) > std::pair(right.second.waitingUnits, right.second.inFlight);
     };
@@ -52,52 +52,52 @@
     loads = { all.begin(), all.end() };
 }
 
-void takeNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone)
+void replaceIfNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone)
 {
     bool isCloser = other.version == best.version && other.version > 0 && other.zone == ownZone && best.zone != ownZone;
     if (other.version > best.version || isCloser)
         best = other;
 }
 
-void addRow(GroupSum& sum, const PeerRow& row, const std::string& ownZone)
+void addRow(GroupAggregate& sum, const PeerRow& row, const std::string& ownZone)
 {
     ++sum.nodes;
     for (const auto& it : row.loads)
         addLoad(sum.loads, shortNameOf(it.endpoint), it.inFlight, it.waitingTokens);
     for (const auto& [service, demand] : row.demand)
         sum.demand[service] += demand;
-    addNews(sum.versions, row.versions);
-    addNews(sum.suspects, row.suspects);
+    mergeUpdate(sum.versions, row.versions);
+    mergeUpdate(sum.suspects, row.suspects);
     sum.leavingEndpoints.insert(sum.leavingEndpoints.end(), row.leavingEndpoints.begin(), row.leavingEndpoints.end());
     if (row.holdsDuties)
         sum.dutyHolders.push_back(row.contact());
     if (row.leftDutiesFence > 0 && !row.holdsDuties)
-        sum.formerHolders.push_back({ .node = row.node, .lifetime = row.lifetime, .fence = row.leftDutiesFence });
-    if (row.mayTakeDuties() && (sum.firstCandidate.empty() || row.node < sum.firstCandidate))
+        sum.formerDutyHolders.push_back({ .node = row.node, .lifetime = row.lifetime, .fence = row.leftDutiesFence });
+    if (row.canTakeDuties() && (sum.firstCandidate.empty() || row.node < sum.firstCandidate))
         sum.firstCandidate = row.node;
     if (row.endpointsRevision > 0)
-        takeNewer(sum.endpoints, { .version = row.endpointsRevision, .address = row.controlAddress, .zone = row.zone }, ownZone);
-    takeNewer(sum.configuration, { .version = row.configurationVersion, .address = row.controlAddress, .zone = row.zone }, ownZone);
+        replaceIfNewer(sum.endpoints, { .version = row.endpointsRevision, .address = row.controlAddress, .zone = row.zone }, ownZone);
+    replaceIfNewer(sum.configuration, { .version = row.configurationVersion, .address = row.controlAddress, .zone = row.zone }, ownZone);
 }
 
-void addGroup(GroupSum& sum, const GroupSum& group, const std::string& ownZone)
+void addGroup(GroupAggregate& sum, const GroupAggregate& group, const std::string& ownZone)
 {
     sum.nodes += group.nodes;
     sum.silentNodes += group.silentNodes;
     for (const auto& [endpoint, load] : group.loads)
-        addLoad(sum.loads, endpoint, load.inFlight, load.waitingUnits * SummedLoad::tokensPerUnit);
+        addLoad(sum.loads, endpoint, load.inFlight, load.waitingUnits * AggregatedLoad::tokensPerUnit);
     for (const auto& [service, demand] : group.demand)
         sum.demand[service] += demand;
-    addNews(sum.versions, group.versions);
-    addNews(sum.suspects, group.suspects);
+    mergeUpdate(sum.versions, group.versions);
+    mergeUpdate(sum.suspects, group.suspects);
     sum.leavingEndpoints.insert(sum.leavingEndpoints.end(), group.leavingEndpoints.begin(), group.leavingEndpoints.end());
     sum.dutyHolders.insert(sum.dutyHolders.end(), group.dutyHolders.begin(), group.dutyHolders.end());
-    sum.formerHolders.insert(sum.formerHolders.end(), group.formerHolders.begin(), group.formerHolders.end());
+    sum.formerDutyHolders.insert(sum.formerDutyHolders.end(), group.formerDutyHolders.begin(), group.formerDutyHolders.end());
     if (!group.firstCandidate.empty() && (sum.firstCandidate.empty() || group.firstCandidate < sum.firstCandidate))
         sum.firstCandidate = group.firstCandidate;
     sum.watchers.insert(sum.watchers.end(), group.watchers.begin(), group.watchers.end());
-    takeNewer(sum.endpoints, group.endpoints, ownZone);
-    takeNewer(sum.configuration, group.configuration, ownZone);
+    replaceIfNewer(sum.endpoints, group.endpoints, ownZone);
+    replaceIfNewer(sum.configuration, group.configuration, ownZone);
 }
 
 } // namespace Onyxnotch
