--- a/modules/peers/group_sum.h
+++ b/modules/peers/group_aggregate.h
@@ -10,16 +10,16 @@
 // loads are added up.
 using ShortName = std::uint32_t;
 inline ShortName shortNameOf(const std::string& name) { return static_cast<ShortName>(mixHash(std::hash<std::string> {}(name), 0)); }
-inline ShortName shortNameOf(const EndpointLife& life) { return static_cast<ShortName>(mixHash(hashOf(life), 0)); }
+inline ShortName shortNameOf(const EndpointIncarnation& life) { return static_cast<ShortName>(mixHash(hashOf(life), 0)); }
 
 // Load of one endpoint over several nodes; with its ShortName it takes eight bytes, since an aggregate has hundreds of them.
-struct SummedLoad {
+struct AggregatedLoad {
     std::uint16_t inFlight { 0 };
     std::uint16_t waitingUnits { 0 }; // Prompt tokens not read yet, in units of `tokensPerUnit`.
 
     static constexpr double tokensPerUnit = 64; // Finer than the error of the estimate of cached tokens; allows up to four million tokens.
 
-    bool operator==(const SummedLoad&) const = default;
+    bool operator==(const AggregatedLoad&) const = default;
 
     template <class Archive>
     void serialize(Archive& archive) { archive(inFlight, waitingUnits); }
@@ -60,20 +60,20 @@
     void serialize(Archive& archive) { archive(zone, node); }
 };
 
-struct GroupSum {
+struct GroupAggregate {
     PeerContact relay {}; // The relay node that computed the aggregate.
     std::uint32_t sequence { 0 }; // Of the aggregate, increasing during the relay node's incarnation.
     std::uint32_t nodes { 0 }; // Number of nodes with a recent row.
     std::uint32_t silentNodes { 0 }; // Number of nodes whose last row is older: they may be cut off but still serving requests.
-    std::uint64_t trueMilliseconds { 0 }; // Time of day by the median of the nodes' clocks when the aggregate was sent.
+    std::uint64_t fleetTimeMilliseconds { 0 }; // Time of day by the median of the nodes' clocks when the aggregate was sent.
     TotalsByName teamTotals {}; // Counted since the relay node's start.
-    std::map<ShortName, SummedLoad> loads {}; // By endpoint.
+    std::map<ShortName, AggregatedLoad> loads {}; // By endpoint.
     std::map<std::string, ServiceDemand> demand {};
-    VersionNews versions {};
-    SuspectNews suspects {};
-    std::vector<EndpointLife> leavingEndpoints {};
+    VersionUpdate versions {};
+    SuspectUpdate suspects {};
+    std::vector<EndpointIncarnation> leavingEndpoints {};
     std::vector<PeerContact> dutyHolders {};
-    std::vector<FormerDutyHolder> formerHolders {};
+    std::vector<FormerDutyHolder> formerDutyHolders {};
     std::string firstCandidate {}; // First node by name that may take the singleton duties. Empty if there is none.
     DocumentSource endpoints {}; // The list of endpoints.
     DocumentSource configuration {};
@@ -81,7 +81,7 @@
     std::map<ShortName, std::uint32_t> counted {}; // For each included node of the relay node's zone, the sequence of its row.
     std::vector<PeerContact> contacts {}; // Some nodes with a recent row; the zone's relay nodes come first.
 
-    bool operator==(const GroupSum&) const = default;
+    bool operator==(const GroupAggregate&) const = default;
 
     // Whether all numbers are within plausible ranges; otherwise the aggregate is refused.
     bool isSound() const;
@@ -89,18 +89,18 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(relay, sequence, nodes, silentNodes, trueMilliseconds, teamTotals, loads, demand, versions, suspects, leavingEndpoints, dutyHolders, formerHolders, firstCandidate,
+        archive(relay, sequence, nodes, silentNodes, fleetTimeMilliseconds, teamTotals, loads, demand, versions, suspects, leavingEndpoints, dutyHolders, formerDutyHolders, firstCandidate,
             endpoints, configuration, watchers, counted, contacts);
     }
 };
 
 // Keeps the `maximum` endpoints with the most waiting tokens; among equal ones, those with the most requests in flight.
-void keepHeaviest(std::map<ShortName, SummedLoad>&, std::size_t maximum);
-void addLoad(std::map<ShortName, SummedLoad>&, ShortName endpoint, double inFlight, double waitingTokens);
+void keepHeaviest(std::map<ShortName, AggregatedLoad>&, std::size_t maximum);
+void addLoad(std::map<ShortName, AggregatedLoad>&, ShortName endpoint, double inFlight, double waitingTokens);
 // Replaces `best` by `other` if that is newer, or equally new and, unlike `best`, in `ownZone`.
-void takeNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone);
+void replaceIfNewer(DocumentSource& best, const DocumentSource& other, const std::string& ownZone);
 // Add a node's row or another group's aggregate. Team totals are left to the caller, since merging them needs the previous values.
-void addRow(GroupSum&, const PeerRow&, const std::string& ownZone);
-void addGroup(GroupSum&, const GroupSum&, const std::string& ownZone);
+void addRow(GroupAggregate&, const PeerRow&, const std::string& ownZone);
+void addGroup(GroupAggregate&, const GroupAggregate&, const std::string& ownZone);
 
 } // namespace Onyxnotch
--- a/modules/peers/limit_messages.h
+++ b/modules/peers/limit_messages.h
@@ -7,12 +7,12 @@
 namespace Onyxnotch {
 
 // Sent to a relay node: requests a credit for sending one request to an endpoint.
-struct CreditAsk {
+struct CreditRequest {
     std::uint64_t number { 0 }; // Chosen by the requesting node, and repeated in the answer.
-    LimitWord word {}; // The endpoint's advertised limit as known to the requesting node.
-    std::uint32_t asks { 1 }; // Requests for the endpoint at the requesting node since its previous CreditAsk, this one included.
+    AdvertisedLimit word {}; // The endpoint's advertised limit as known to the requesting node.
+    std::uint32_t asks { 1 }; // Requests for the endpoint at the requesting node since its previous CreditRequest, this one included.
 
-    bool operator==(const CreditAsk&) const = default;
+    bool operator==(const CreditRequest&) const = default;
 
     bool isSound() const
     {
@@ -24,22 +24,22 @@
     void serialize(Archive& archive) { archive(number, word, asks); }
 };
 
-// The relay node's answer to a CreditAsk.
+// The relay node's answer to a CreditRequest.
 struct CreditAnswer {
     std::uint64_t number { 0 };
-    EndpointLife endpoint {};
-    bool isGiven { false };
-    std::uint32_t askAgainMilliseconds { 0 }; // If no credit was granted: time to wait before the next credit request.
+    EndpointIncarnation endpoint {};
+    bool isGranted { false };
+    std::uint32_t retryAfterMilliseconds { 0 }; // If no credit was granted: time to wait before the next credit request.
 
     bool operator==(const CreditAnswer&) const = default;
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(number, endpoint, isGiven, askAgainMilliseconds); }
+    void serialize(Archive& archive) { archive(number, endpoint, isGranted, retryAfterMilliseconds); }
 };
 
 // Sent to the relay node that granted a credit: returns it, since no request was sent to the endpoint.
 struct CreditReturn {
-    EndpointLife endpoint {};
+    EndpointIncarnation endpoint {};
 
     bool operator==(const CreditReturn&) const = default;
 
--- a/modules/peers/peer_exchange.cpp
+++ b/modules/peers/peer_exchange.cpp
@@ -76,18 +76,18 @@
         return success();
     }
     case MessageType::SuspectNotice: {
-        BOOST_OUTCOME_TRY(news, unpackMessage<SuspectNews>(frame.type, frame));
+        BOOST_OUTCOME_TRY(news, unpackMessage<SuspectUpdate>(frame.type, frame));
         m_receivers.suspects(news);
         return success();
     }
-    case MessageType::LimitNews:
+    case MessageType::LimitUpdate:
         return handleLimitUpdate(frame);
-    case MessageType::CreditAsk:
+    case MessageType::CreditRequest:
     case MessageType::CreditAnswer:
     case MessageType::CreditReturn:
         return handleCreditMessage(frame);
-    case MessageType::ZoneSum:
-    case MessageType::FleetSum:
+    case MessageType::ZoneAggregate:
+    case MessageType::FleetAggregate:
         return handleAggregate(frame);
     default: {
         BOOST_OUTCOME_TRY(message, unpackMessage<PeerMessage>(MessageType::PeerRow, frame));
@@ -111,10 +111,10 @@
 
 Status PeerExchange::handleAggregate(const Frame& frame)
 {
-    BOOST_OUTCOME_TRY(sum, unpackMessage<GroupSum>(frame.type, frame));
+    BOOST_OUTCOME_TRY(sum, unpackMessage<GroupAggregate>(frame.type, frame));
     if (!sum.isSound())
         return Error { ErrorCode::InvalidArgument, "aggregate with values out of range" };
-    if (frame.type == MessageType::ZoneSum)
+    if (frame.type == MessageType::ZoneAggregate)
         m_relay.onZoneAggregate(sum, steadyNow());
     else
         m_relay.onFleetAggregate(sum, steadyNow());
@@ -123,7 +123,7 @@
 
 Status PeerExchange::handleLimitUpdate(const Frame& frame)
 {
-    BOOST_OUTCOME_TRY(news, unpackMessage<LimitNews>(frame.type, frame));
+    BOOST_OUTCOME_TRY(news, unpackMessage<LimitUpdate>(frame.type, frame));
     if (news.node == m_relay.node())
         return success();
     m_receivers.limits(news);
@@ -132,8 +132,8 @@
 
 Status PeerExchange::handleCreditMessage(const Frame& frame)
 {
-    if (frame.type == MessageType::CreditAsk) {
-        BOOST_OUTCOME_TRY(ask, unpackMessage<CreditAsk>(frame.type, frame));
+    if (frame.type == MessageType::CreditRequest) {
+        BOOST_OUTCOME_TRY(ask, unpackMessage<CreditRequest>(frame.type, frame));
         if (!ask.isSound())
             return Error { ErrorCode::InvalidArgument, "credit request with values out of range" };
         m_receivers.creditAsk(ask, sender());
@@ -179,7 +179,7 @@
     }
 }
 
-double PeerExchange::heardPart() const
+double PeerExchange::receivedFraction() const
 {
     auto outside = m_table.contactsOutside(m_options.zone).size();
     auto inside = m_table.contactsIn(m_options.zone).size();
@@ -242,9 +242,9 @@
         sendBytes(it, bytes);
 }
 
-void PeerExchange::send(const SuspectNews& news) { sendTo(receivers(), MessageType::SuspectNotice, news); }
+void PeerExchange::send(const SuspectUpdate& news) { sendTo(receivers(), MessageType::SuspectNotice, news); }
 
-void PeerExchange::sendToRelays(const SuspectNews& news)
+void PeerExchange::sendToRelays(const SuspectUpdate& news)
 {
     auto now = steadyNow();
     sendTo(m_relay.isRelay(now) ? m_relay.urgentReceivers(now) : m_relay.rowReceivers(), MessageType::SuspectNotice, news);
@@ -254,17 +254,17 @@
 
 void PeerExchange::sendTo(const Address& address, const PeerRow& row) { sendBytes(address, encode(row)); }
 
-std::vector<Address> PeerExchange::everyNode()
+std::vector<Address> PeerExchange::knownNodeAddresses()
 {
     std::vector<Address> addresses;
     addRandomAddresses(m_table.contacts(), m_options.greetingFanOut, addresses);
     return addresses;
 }
 
-void PeerExchange::greetAll(const PeerRow& row)
+void PeerExchange::sendToAllKnown(const PeerRow& row)
 {
     auto bytes = encode(row);
-    for (const auto& it : everyNode())
+    for (const auto& it : knownNodeAddresses())
         sendBytes(it, bytes);
 }
 
--- a/modules/peers/peer_exchange.h
+++ b/modules/peers/peer_exchange.h
@@ -25,7 +25,7 @@
     std::size_t ownZoneFanOut { 32 };
     // Maximum number of nodes of other zones that each row is sent to, chosen at random each time.
     std::size_t otherZonesFanOut { 8 };
-    // Maximum number of receivers of the first row after a start (greetAll(), at most about 100 KB per incarnation) and of messages to
+    // Maximum number of receivers of the first row after a start (sendToAllKnown(), at most about 100 KB per incarnation) and of messages to
     // every node. In a larger fleet the other nodes receive that state later.
     std::size_t greetingFanOut { 128 };
     // Number of nodes, chosen at random each time, that get usage counts besides the lease holders of the singleton duties, since a holder
@@ -38,9 +38,9 @@
 struct PeerReceivers {
     std::function<void(const PeerRow&, bool isNewIncarnation)> row {}; // `isNewIncarnation`: first row since that node's start.
     std::function<void(const PrefillNotice&)> prefill {};
-    std::function<void(const SuspectNews&)> suspects {};
-    std::function<void(const LimitNews&)> limits {};
-    std::function<void(const CreditAsk&, const Address& from)> creditAsk {};
+    std::function<void(const SuspectUpdate&)> suspects {};
+    std::function<void(const LimitUpdate&)> limits {};
+    std::function<void(const CreditRequest&, const Address& from)> creditAsk {};
     std::function<void(const CreditAnswer&, const Address& from)> creditAnswer {};
     std::function<void(const CreditReturn&)> creditReturn {};
 };
@@ -54,16 +54,16 @@
     void send(const PeerRow&);
     // Sends the row to the relay nodes of the zone, in a fleet that needs them.
     void sendToRelays(const PeerRow&);
-    // Sends an aggregate of this relay node; the type is ZoneSum or FleetSum.
+    // Sends an aggregate of this relay node; the type is ZoneAggregate or FleetAggregate.
     void send(MessageType, const FleetRelay::AddressedAggregate&);
     // Sends usage counts to the lease holders of the singleton duties and to `usageFanOut` other nodes.
     void send(const UsageNotice&, const std::vector<PeerContact>& holders);
     // Sends the notice to the same selection of nodes as a row.
     void send(const PrefillNotice&);
     // Sends the suspects to the same selection of nodes as a row. The next rows contain them too, so a lost datagram costs one period.
-    void send(const SuspectNews&);
+    void send(const SuspectUpdate&);
     // In a fleet that needs relay nodes: sends to those of the zone; from a relay node, to the receivers of its urgent updates.
-    void sendToRelays(const SuspectNews&);
+    void sendToRelays(const SuspectUpdate&);
     // Sends the row to one node, as the answer to the first row of that node's incarnation.
     void sendTo(const Address&, const PeerRow&);
     template <typename Message>
@@ -76,13 +76,13 @@
             sendBytes(it, bytes);
     }
     // Addresses of all nodes known so far, at random up to `greetingFanOut`.
-    std::vector<Address> everyNode();
+    std::vector<Address> knownNodeAddresses();
     // Sends the row to the nodes known so far, up to `greetingFanOut`. They answer with their rows, so that a node that has just started
     // gets the state of all at once.
-    void greetAll(const PeerRow&);
+    void sendToAllKnown(const PeerRow&);
     void addContact(const PeerContact&);
     // Fraction of the rows of a node that any other single node receives, which is below 1 if the fleet is larger than the fan-outs.
-    double heardPart() const;
+    double receivedFraction() const;
 
 private:
     void receive();
--- a/modules/peers/peer_row.h
+++ b/modules/peers/peer_row.h
@@ -5,8 +5,8 @@
 #include "core/net/address.h"
 #include "modules/balance/endpoint_book.h"
 #include "modules/limits/usage_ledger.h"
-#include "modules/rollout/version_news.h"
-#include "modules/suspects/suspect_news.h"
+#include "modules/rollout/version_update.h"
+#include "modules/suspects/suspect_update.h"
 #include <algorithm>
 #include <cereal/types/map.hpp>
 #include <cereal/types/string.hpp>
@@ -77,27 +77,27 @@
     bool hasDuties { true }; // The node is allowed to take the singleton duties, which one node at a time performs.
     bool holdsDuties { false };
     std::uint64_t leftDutiesFence { 0 }; // Last fencing token of the duties that the node no longer holds; 0 if none in this incarnation.
-    std::uint64_t trueMilliseconds { 0 }; // The sender's time of day when it sent the row.
+    std::uint64_t fleetTimeMilliseconds { 0 }; // The sender's time of day when it sent the row.
     std::uint64_t configurationVersion { 0 };
     bool watchesStore { false }; // The node has a working watch on the store.
     std::uint64_t endpointsRevision { 0 }; // The store's revision of the node's endpoint list.
     std::map<std::string, double> teamTotals {};
     std::vector<EndpointLoadReport> loads {};
-    std::vector<EndpointLife> leavingEndpoints {};
+    std::vector<EndpointIncarnation> leavingEndpoints {};
     std::map<std::string, ServiceDemand> demand {};
-    VersionNews versions {};
-    SuspectNews suspects {};
+    VersionUpdate versions {};
+    SuspectUpdate suspects {};
 
     bool operator==(const PeerRow&) const = default;
 
     PeerContact contact() const { return { .node = node, .lifetime = lifetime, .gossipAddress = gossipAddress, .zone = zone, .processorPercent = processorPercent }; }
     // A node without a working watch on the store could not take the lease, and a node that has just lost the lease may not know that yet.
-    bool mayTakeDuties() const { return !leaving && hasDuties && watchesStore && leftDutiesFence == 0; }
+    bool canTakeDuties() const { return !leaving && hasDuties && watchesStore && leftDutiesFence == 0; }
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(node, lifetime, sequence, ageMilliseconds, zone, gossipAddress, controlAddress, processorPercent, leaving, hasDuties, holdsDuties, leftDutiesFence, trueMilliseconds, configurationVersion, watchesStore, endpointsRevision, teamTotals,
+        archive(node, lifetime, sequence, ageMilliseconds, zone, gossipAddress, controlAddress, processorPercent, leaving, hasDuties, holdsDuties, leftDutiesFence, fleetTimeMilliseconds, configurationVersion, watchesStore, endpointsRevision, teamTotals,
             loads, leavingEndpoints, demand, versions, suspects);
     }
 };
@@ -126,7 +126,7 @@
 
 // Announces that a node has sent a long prompt to an endpoint. Sent at once, as the endpoint reads the prompt before the next row is due.
 struct PrefillNotice {
-    EndpointLife endpoint {};
+    EndpointIncarnation endpoint {};
     double tokens { 0 }; // Uncached tokens of the prompt, as estimated by the sender.
 
     bool operator==(const PrefillNotice&) const = default;
--- a/modules/peers/peer_table.cpp
+++ b/modules/peers/peer_table.cpp
@@ -24,7 +24,7 @@
     entry.contact = row.contact();
     entry.hasRow = true;
     entry.lastSeenAt = now;
-    entry.clockDifference = static_cast<std::int64_t>(row.trueMilliseconds) - std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
+    entry.clockDifference = static_cast<std::int64_t>(row.fleetTimeMilliseconds) - std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
     return true;
 }
 
@@ -77,7 +77,7 @@
         it->second.confirmedByRelayAt = now;
 }
 
-void PeerTable::forgetOld(SteadyTime now)
+void PeerTable::purgeExpired(SteadyTime now)
 {
     std::erase_if(m_entries, [&](const auto& it) { return now - std::max(it.second.lastSeenAt, it.second.confirmedByRelayAt) > m_options.forgetAfter; });
 }
--- a/modules/peers/peer_table.h
+++ b/modules/peers/peer_table.h
@@ -30,7 +30,7 @@
     void addContact(const PeerContact&, SteadyTime now);
     // As addContact(), for a contact from a relay node that received a recent row of the node: also keeps its entry from being removed.
     void refreshContact(const PeerContact&, SteadyTime now);
-    void forgetOld(SteadyTime now);
+    void purgeExpired(SteadyTime now);
 
     // Nodes whose row says that they hold the singleton duties: they need the usage counts of all nodes.
     std::vector<PeerContact> dutyHolders() const;
--- a/modules/peers/relay_choice.cpp
+++ b/modules/peers/relay_choice.cpp
@@ -1,6 +1,6 @@
 #include "modules/peers/relay_choice.h"
 
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 #include <algorithm>
 #include <tuple>
 
--- a/modules/placement/controller.cpp
+++ b/modules/placement/controller.cpp
@@ -102,7 +102,7 @@
         if (isNew)
             m_refusedAt[it.slot.offer] = now;
     }
-    std::erase_if(m_refusedAt, [&](const auto& it) { return now - it.second > m_options.refusalMemory; });
+    std::erase_if(m_refusedAt, [&](const auto& it) { return now - it.second > m_options.refusalRetention; });
     std::set<Offer> offers;
     for (const auto& [offer, refusedAt] : m_refusedAt)
         offers.insert(offer);
--- a/modules/placement/controller.h
+++ b/modules/placement/controller.h
@@ -16,7 +16,7 @@
     LeaseOptions lease {};
     ZoneControllerOptions zone {}; // Template for every zone; the controller fills in the member `zone`.
     Milliseconds period { 500 }; // Interval between two rounds of lease renewal, planning and reconciling.
-    Milliseconds refusalMemory { 30000 }; // How long an offer is not planned again after the cloud refused it for lack of capacity.
+    Milliseconds refusalRetention { 30000 }; // How long an offer is not planned again after the cloud refused it for lack of capacity.
     unsigned candidatesPerLease { 3 }; // Number of controllers that compete for each lease; limits its reads at the object service.
     std::uint64_t retainedChanges { 1000 }; // Number of configuration changes that remain in the store after a compaction.
     std::uint64_t compactionInterval { 200 }; // Number of new configuration versions between two compactions.
--- a/modules/placement/lease.cpp
+++ b/modules/placement/lease.cpp
@@ -36,13 +36,13 @@
     });
 }
 
-LeaseMachine::LeaseMachine(std::string self, const LeaseOptions& options)
+LeaseStateMachine::LeaseStateMachine(std::string self, const LeaseOptions& options)
     : m_self(std::move(self))
     , m_options(options)
 {
 }
 
-void LeaseMachine::observe(const std::optional<LeaseRecord>& record, std::uint64_t version, SteadyTime readSentAt, SteadyTime now)
+void LeaseStateMachine::observe(const std::optional<LeaseRecord>& record, std::uint64_t version, SteadyTime readSentAt, SteadyTime now)
 {
     bool hasChanged = !m_observed || version != m_version || record.has_value() != m_record.has_value();
     if (hasChanged)
@@ -63,7 +63,7 @@
     }
 }
 
-std::optional<LeaseWrite> LeaseMachine::next(SteadyTime now) const
+std::optional<LeaseWrite> LeaseStateMachine::next(SteadyTime now) const
 {
     if (!m_observed)
         return std::nullopt;
@@ -90,7 +90,7 @@
     return write;
 }
 
-std::optional<LeaseWrite> LeaseMachine::nextWithNote(const std::string& note, SteadyTime now) const
+std::optional<LeaseWrite> LeaseStateMachine::nextRenewalWithNote(const std::string& note, SteadyTime now) const
 {
     if (!m_observed || !m_record || !holds(now))
         return std::nullopt;
@@ -100,7 +100,7 @@
     return write;
 }
 
-void LeaseMachine::written(const LeaseWrite& write, std::uint64_t newVersion, SteadyTime sentAt)
+void LeaseStateMachine::written(const LeaseWrite& write, std::uint64_t newVersion, SteadyTime sentAt)
 {
     if (!m_held || write.record.fence != m_fence)
         m_acquiredAt = sentAt;
@@ -112,24 +112,24 @@
     m_held = write.record.holder == m_self;
 }
 
-void LeaseMachine::giveUp()
+void LeaseStateMachine::giveUp()
 {
     m_held = false;
     m_ownResignedFence = m_fence;
 }
 
-void LeaseMachine::holderGaveUp(const std::string& holder, std::uint64_t life, std::uint64_t fence)
+void LeaseStateMachine::onHolderResigned(const std::string& holder, std::uint64_t life, std::uint64_t fence)
 {
     m_resignedHolder = holder;
     m_resignedIncarnation = life;
     m_resignedFence = fence;
 }
 
-void LeaseMachine::forget() { m_observed = false; }
+void LeaseStateMachine::forget() { m_observed = false; }
 
-bool LeaseMachine::holds(SteadyTime now) const { return left(now).count() > 0; }
+bool LeaseStateMachine::holds(SteadyTime now) const { return left(now).count() > 0; }
 
-Milliseconds LeaseMachine::left(SteadyTime now) const
+Milliseconds LeaseStateMachine::left(SteadyTime now) const
 {
     if (!m_held)
         return Milliseconds(0);
--- a/modules/placement/lease.h
+++ b/modules/placement/lease.h
@@ -53,28 +53,28 @@
     auto operator<=>(const LeaseWrite&) const = default;
 };
 
-class LeaseMachine {
+class LeaseStateMachine {
 public:
     // `self` is the name that this process writes as the holder.
-    LeaseMachine(std::string self, const LeaseOptions&);
+    LeaseStateMachine(std::string self, const LeaseOptions&);
 
-    auto operator<=>(const LeaseMachine&) const = default;
+    auto operator<=>(const LeaseStateMachine&) const = default;
 
     // Reports that the lease was read. `record` is empty if the object doesn't exist; `readSentAt` is when the read was sent.
     void observe(const std::optional<LeaseRecord>& record, std::uint64_t version, SteadyTime readSentAt, SteadyTime now);
     // Returns the write that is due now: an acquisition or a renewal. Empty if none is due, or before the first observe().
     std::optional<LeaseWrite> next(SteadyTime now) const;
     // Returns a renewal that stores `note`, regardless of when the next renewal is due. Empty if the lease isn't held.
-    std::optional<LeaseWrite> nextWithNote(const std::string& note, SteadyTime now) const;
+    std::optional<LeaseWrite> nextRenewalWithNote(const std::string& note, SteadyTime now) const;
     // Reports that a write succeeded. The lease duration is counted from `sentAt`, when the write was sent.
     void written(const LeaseWrite&, std::uint64_t newVersion, SteadyTime sentAt);
     // Resigns: this process never acts under its current fence again, even if the stored lease still names it as the holder, and can only
-    // acquire the lease again with a higher fence. The caller announces this to other nodes; see holderGaveUp().
+    // acquire the lease again with a higher fence. The caller announces this to other nodes; see onHolderResigned().
     void giveUp();
     // Reports that the holder announced that it no longer acts under `fence`, so that the lease can be acquired before it expires.
     // Applies only if the last read record was written by the same holder and incarnation, with at most this fence. If the holder renews
     // the lease after that read, the conditional write of the acquisition fails.
-    void holderGaveUp(const std::string& holder, std::uint64_t life, std::uint64_t fence);
+    void onHolderResigned(const std::string& holder, std::uint64_t life, std::uint64_t fence);
     // Reports that a write failed or that its answer was lost: the lease must be read again before the next write.
     void forget();
 
--- a/modules/placement/lease_manager.h
+++ b/modules/placement/lease_manager.h
@@ -1,4 +1,4 @@
-// Acquires, renews and releases one lease: sends the reads and writes that LeaseMachine decides on to the object service.
+// Acquires, renews and releases one lease: sends the reads and writes that LeaseStateMachine decides on to the object service.
 #pragma once
 
 #include "modules/placement/lease.h"
@@ -31,7 +31,7 @@
     std::string m_key {};
     LeaseOptions m_options;
     mutable std::mutex m_mutex;
-    LeaseMachine m_machine;
+    LeaseStateMachine m_machine;
     bool m_isObserved { false };
     SteadyTime m_nextReadAt {};
 };
--- a/modules/placement/zone_controller.cpp
+++ b/modules/placement/zone_controller.cpp
@@ -116,7 +116,7 @@
         it.state = it.instance.empty() ? SlotState::Refused : SlotState::Leaving;
         it.retiredAt = wallMilliseconds();
         if (!it.instance.empty())
-            m_membership.announceMark({ .endpoint = it.instance, .deadlineWallMilliseconds = it.retiredAt + static_cast<std::uint64_t>(m_options.retireTime.count()), .source = LeavingSource::Operator });
+            m_membership.announceMark({ .endpoint = it.instance, .deadlineWallMilliseconds = it.retiredAt + static_cast<std::uint64_t>(m_options.retirementDrainTime.count()), .source = LeavingSource::Operator });
         logEvent(LogLevel::Info, "slot_retired", { { "slot", it.slot.id }, { "endpoint", it.instance } });
         hasChanged = true;
     }
@@ -162,10 +162,10 @@
 {
     if (status.slot.checksFences)
         return lease.holds();
-    // This engine executes orders of any sender. Orders of the previous lease holder may still be running until `longestOrder` after the
+    // This engine executes orders of any sender. Orders of the previous lease holder may still be running until `orderTimeout` after the
     // acquisition, and a new order must end before this lease does.
-    bool earlierOrdersEnded = lease.fence() == 1 || steadyNow() - lease.acquiredAt() >= m_options.longestOrder;
-    return earlierOrdersEnded && lease.left() > m_options.longestOrder;
+    bool earlierOrdersEnded = lease.fence() == 1 || steadyNow() - lease.acquiredAt() >= m_options.orderTimeout;
+    return earlierOrdersEnded && lease.left() > m_options.orderTimeout;
 }
 
 bool ZoneController::loadStartedSlots(const LeaseManager& lease)
@@ -177,7 +177,7 @@
     auto fence = lease.fence();
     runParallel(slots, [&, this](SlotStatus& status) {
         EngineOrder order { .orderId = status.slot.id, .fence = fence, .model = status.slot.model, .weights = status.slot.weights, .adapters = status.slot.adapters };
-        auto result = EngineClient(status.address).order(order, m_options.longestOrder);
+        auto result = EngineClient(status.address).order(order, m_options.orderTimeout);
         if (result)
             status.state = SlotState::Loaded;
         logEvent(result ? LogLevel::Info : LogLevel::Warning, "load_ordered",
@@ -234,8 +234,8 @@
     auto exists = [&](const std::string& id) { return std::any_of(instances.begin(), instances.end(), [&](const CloudInstance& it) { return it.id == id; }); };
     auto now = wallMilliseconds();
     for (auto& it : m_status) {
-        bool isDrainTimeOver = it.retiredAt != 0 && now - it.retiredAt >= static_cast<std::uint64_t>(m_options.retireTime.count());
-        if (it.state == SlotState::Leaving && isDrainTimeOver && exists(it.instance) && lease.left() >= m_options.longestTermination)
+        bool isDrainTimeOver = it.retiredAt != 0 && now - it.retiredAt >= static_cast<std::uint64_t>(m_options.retirementDrainTime.count());
+        if (it.state == SlotState::Leaving && isDrainTimeOver && exists(it.instance) && lease.left() >= m_options.terminationTimeout)
             (void)m_cloud.terminate(it.instance);
         // The instance ended without a reclaim notice.
         if ((it.state == SlotState::Loaded || it.state == SlotState::Started) && !exists(it.instance)) {
@@ -258,7 +258,7 @@
         if (!isManaged || isKnown)
             continue;
         // The cloud doesn't check fences: only enough remaining lease time ensures that no other controller has ordered this instance.
-        if (lease.left() < m_options.longestTermination)
+        if (lease.left() < m_options.terminationTimeout)
             return leaseLostError();
         logEvent(LogLevel::Warning, "leaked_instance_ended", { { "endpoint", it.id }, { "token", it.clientToken } });
         BOOST_OUTCOME_TRYV(m_cloud.terminate(it.id));
--- a/modules/placement/zone_controller.h
+++ b/modules/placement/zone_controller.h
@@ -17,10 +17,10 @@
     // Prefix of the client tokens of started instances. Instances of the same cloud account without it are never ended.
     std::string tokenPrefix { "onyxnotch-" };
     // Time limit of a load order: an engine that hasn't answered within this time has dropped the order.
-    Milliseconds longestOrder { 8000 };
-    Milliseconds longestTermination { 2500 }; // Upper bound for the duration of the cloud's call that ends an instance.
+    Milliseconds orderTimeout { 8000 };
+    Milliseconds terminationTimeout { 2500 }; // Upper bound for the duration of the cloud's call that ends an instance.
     // Time for running streams to finish before the instance of a slot that was removed from the plan is ended.
-    Milliseconds retireTime { 30000 };
+    Milliseconds retirementDrainTime { 30000 };
     unsigned parallelism { 8 }; // Maximum number of concurrent cloud starts or load orders.
     std::size_t maximumSlots { 2000 };
 };
--- a/modules/report/burn_report.h
+++ b/modules/report/burn_report.h
@@ -2,7 +2,7 @@
 // or as an HTML page. Pure functions.
 #pragma once
 
-#include "modules/report/request_account.h"
+#include "modules/report/request_timeline.h"
 #include <map>
 #include <optional>
 
--- a/modules/report/request_account.cpp
+++ b/modules/report/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "modules/report/request_account.h"
+#include "modules/report/request_timeline.h"
 
 #include <algorithm>
 #include <map>
@@ -232,6 +232,6 @@
     }
 }
 
-std::string requestAccount(const ParsedLog& log, const std::string& requestId, const RequestTimelineOptions& options) { return TimelineWriter(log, requestId, options).text(); }
+std::string requestTimeline(const ParsedLog& log, const std::string& requestId, const RequestTimelineOptions& options) { return TimelineWriter(log, requestId, options).text(); }
 
 } // namespace Onyxnotch
--- a/modules/report/request_account.h
+++ b/modules/report/request_timeline.h
@@ -34,6 +34,6 @@
 
 // Returns the timeline of a request: the state of its node when it arrived, its attempts, its outcome, changes of the endpoints it was sent
 // to, and the cause in one sentence. Returns an empty string if no line has the request's id.
-std::string requestAccount(const ParsedLog&, const std::string& requestId, const RequestTimelineOptions& options = {});
+std::string requestTimeline(const ParsedLog&, const std::string& requestId, const RequestTimelineOptions& options = {});
 
 } // namespace Onyxnotch
--- a/modules/request/active_request.cpp
+++ b/modules/request/active_request.cpp
@@ -55,7 +55,7 @@
 {
     std::lock_guard lock(m_mutex);
     bool hasPriority = m_interruption == Interruption::Handover || m_interruption == Interruption::Cancelled;
-    if (hasPriority && interruption == Interruption::EndpointLeaving)
+    if (hasPriority && interruption == Interruption::EndpointDraining)
         return;
     m_interruption = interruption;
     if (m_stream)
@@ -66,7 +66,7 @@
 {
     std::lock_guard lock(m_mutex);
     auto pending = m_interruption;
-    if (pending == Interruption::EndpointLeaving)
+    if (pending == Interruption::EndpointDraining)
         m_interruption = Interruption::None;
     return pending;
 }
@@ -120,14 +120,14 @@
     };
 }
 
-void ActiveRequest::noteReader(int change)
+void ActiveRequest::changeReaderCount(int change)
 {
     std::lock_guard lock(m_mutex);
     m_readerCount += change;
     m_unreadSince = steadyNow();
 }
 
-Milliseconds ActiveRequest::unreadFor() const
+Milliseconds ActiveRequest::timeWithoutReader() const
 {
     std::lock_guard lock(m_mutex);
     return m_readerCount > 0 ? Milliseconds(0) : toMilliseconds(steadyNow() - m_unreadSince);
--- a/modules/request/active_request.h
+++ b/modules/request/active_request.h
@@ -75,7 +75,7 @@
 // Why the thread that runs a request has to stop reading from its engine.
 enum class Interruption {
     None,
-    EndpointLeaving, // The endpoint is draining.
+    EndpointDraining, // The endpoint is draining.
     Handover, // This node is shutting down and hands the request over to another node.
     Cancelled,
 };
@@ -97,10 +97,10 @@
     // interruption is pending.
     bool attach(EngineStream*);
     void detach();
-    // Makes the thread that runs the request stop reading and call consumeInterruption(). EndpointLeaving does not replace a pending
+    // Makes the thread that runs the request stop reading and call consumeInterruption(). EndpointDraining does not replace a pending
     // Handover or Cancelled.
     void interrupt(Interruption);
-    // Returns the pending interruption. Clears EndpointLeaving; Handover and Cancelled stay pending.
+    // Returns the pending interruption. Clears EndpointDraining; Handover and Cancelled stay pending.
     Interruption consumeInterruption();
     // Clears the pending interruption, so that the request can continue here if no other node accepted it in a handover.
     void clearInterruption();
@@ -119,9 +119,9 @@
     RequestTransfer transfer() const;
 
     // Adds `change` to the number of connections that read the answer: 1 when a reader starts, -1 when a reader ends.
-    void noteReader(int change);
+    void changeReaderCount(int change);
     // Time for which no connection has been reading the answer. 0 while at least one does.
-    Milliseconds unreadFor() const;
+    Milliseconds timeWithoutReader() const;
     // Records the current time as the time of the final outcome.
     void markFinished();
     // Default-constructed while there is no final outcome.
--- a/modules/request/endpoint_directory.cpp
+++ b/modules/request/endpoint_directory.cpp
@@ -127,7 +127,7 @@
 }
 
 // Only considers endpoints that this node may route to, because this node cannot send requests to the others.
-Milliseconds EndpointDirectory::firstBack(const std::string& service) const
+Milliseconds EndpointDirectory::earliestAvailable(const std::string& service) const
 {
     auto state = m_replica.state();
     const auto* spec = state->configuration.service(service);
@@ -135,7 +135,7 @@
         return Milliseconds(0);
     std::optional<Milliseconds> earliest;
     auto consider = [&](const std::string& endpoint) {
-        auto untilAvailable = m_loads.untilReady(endpoint);
+        auto untilAvailable = m_loads.timeUntilReady(endpoint);
         earliest = std::min(earliest.value_or(untilAvailable), untilAvailable);
     };
     if (spec->type == ServiceType::Model) {
@@ -147,7 +147,7 @@
     return earliest.value_or(Milliseconds(0));
 }
 
-bool EndpointDirectory::isTemporarilyUnavailable(const std::string& endpoint) const { return m_loads.untilReady(endpoint).count() > 0; }
+bool EndpointDirectory::isTemporarilyUnavailable(const std::string& endpoint) const { return m_loads.timeUntilReady(endpoint).count() > 0; }
 
 bool EndpointDirectory::isLeaving(const std::string& endpoint) const
 {
--- a/modules/request/endpoint_directory.h
+++ b/modules/request/endpoint_directory.h
@@ -43,7 +43,7 @@
     double expectedPrefill(const RouteCandidate& candidate, const RouteRequest& request) const { return uncachedTokens(candidate, request, m_options.routing); }
     // Time until the first endpoint of the service is available again, if all are in a backoff they requested or have no credit left for
     // this node. 0 if one is available now, or if there is none.
-    Milliseconds firstBack(const std::string& service) const;
+    Milliseconds earliestAvailable(const std::string& service) const;
     // Endpoints that the declaration of a plain service lists, filtered like those of candidates().
     std::vector<PlainEndpoint> plainEndpoints(const std::string& service, const std::set<std::string>& excluded) const;
 
--- a/modules/request/handover.cpp
+++ b/modules/request/handover.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-Handover::Handover(const HandoverOptions& options, MembershipServer& membership, LedgerBook& ledgers, Metrics& metrics)
+Handover::Handover(const HandoverOptions& options, MembershipServer& membership, LedgerRegistry& ledgers, Metrics& metrics)
     : m_options(options)
     , m_membership(membership)
     , m_ledgers(ledgers)
@@ -101,7 +101,7 @@
     }
 }
 
-bool Handover::giveLedgers(SteadyTime deadline)
+bool Handover::transferLedgers(SteadyTime deadline)
 {
     {
         std::lock_guard lock(m_mutex);
@@ -141,7 +141,7 @@
     return false;
 }
 
-HandoverReport Handover::giveRequests(std::vector<std::shared_ptr<ActiveRequest>> requests, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining)
+HandoverReport Handover::transferRequests(std::vector<std::shared_ptr<ActiveRequest>> requests, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining)
 {
     std::sort(requests.begin(), requests.end(), [](const auto& left, const auto& right) { return contextSize(left) > contextSize(right); });
     for (const auto& it : requests)
@@ -155,7 +155,7 @@
         return isPreferred(left) && !isPreferred(right);
     });
     for (const auto& group : groupBySize(requests, m_options.batchBytes)) {
-        RequestBatchMessage message { .giverNode = m_membership.view()->self.node };
+        RequestBatchMessage message { .senderNode = m_membership.view()->self.node };
         for (const auto& it : group) {
             it->waitUntilStopped();
             it->answer().markMoved();
--- a/modules/request/handover.h
+++ b/modules/request/handover.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "core/metrics.h"
-#include "modules/request/ledger_book.h"
+#include "modules/request/ledger_registry.h"
 #include "modules/request/request_table.h"
 #include "servers/membership/membership_server.h"
 #include <functional>
@@ -13,11 +13,11 @@
 
 // Requests that a node hands over to another one.
 struct RequestBatchMessage {
-    std::string giverNode {}; // Node that sends the batch.
+    std::string senderNode {}; // Node that sends the batch.
     std::vector<RequestTransfer> requests {};
 
     template <class Archive>
-    void serialize(Archive& archive) { archive(giverNode, requests); }
+    void serialize(Archive& archive) { archive(senderNode, requests); }
 };
 
 // Reply to each message of a handover.
@@ -54,15 +54,15 @@
     // Called for each request that no other node accepted.
     using RemainingHook = std::function<void(const std::shared_ptr<ActiveRequest>&)>;
 
-    Handover(const HandoverOptions&, MembershipServer&, LedgerBook&, Metrics&);
+    Handover(const HandoverOptions&, MembershipServer&, LedgerRegistry&, Metrics&);
 
     // Offers all ledgers to other gateways, one after another, until one accepts; returns whether one did. The ledgers are marked as
     // transferred before the first offer. If every gateway refuses or the deadline passes, the marks are removed. If a gateway may have
     // received them but its reply is missing, they stay marked and no other gateway is tried. A call after an accepted or unclear offer
     // only returns the earlier result.
-    bool giveLedgers(SteadyTime deadline);
+    bool transferLedgers(SteadyTime deadline);
     // Stops the threads that run the requests and transfers the requests in batches. Calls one of the hooks for each request.
-    HandoverReport giveRequests(std::vector<std::shared_ptr<ActiveRequest>>, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining);
+    HandoverReport transferRequests(std::vector<std::shared_ptr<ActiveRequest>>, SteadyTime deadline, const MovedHook& moved, const RemainingHook& remaining);
     // Sends the ledger entry of a request that ended here after its ledger was transferred. If no successor has accepted the ledgers yet,
     // the update is queued until one does.
     void sendUpdate(const std::string& requestId);
@@ -85,7 +85,7 @@
 
     HandoverOptions m_options;
     MembershipServer& m_membership;
-    LedgerBook& m_ledgers;
+    LedgerRegistry& m_ledgers;
     Metrics& m_metrics;
     mutable std::mutex m_mutex;
     std::optional<Member> m_successor {};
--- a/modules/request/ledger_book.cpp
+++ b/modules/request/ledger_registry.cpp
@@ -1,4 +1,4 @@
-#include "modules/request/ledger_book.h"
+#include "modules/request/ledger_registry.h"
 
 #include "core/digest.h"
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-LedgerBook::LedgerBook(const LedgerBookOptions& options)
+LedgerRegistry::LedgerRegistry(const LedgerRegistryOptions& options)
     : m_options(options)
     , m_origin(steadyNow())
 {
@@ -22,43 +22,43 @@
     m_hostedLedgers.emplace(HomeIncarnation { options.node, options.incarnation }, HostedLedger { .issuer = std::move(issuer), .ledger = Ledger(options.ledger) });
 }
 
-std::uint64_t LedgerBook::now() const
+std::uint64_t LedgerRegistry::now() const
 {
     return static_cast<std::uint64_t>(toMilliseconds(steadyNow() - m_origin).count());
 }
 
-const LedgerBook::HostedLedger* LedgerBook::findLedger(const Ticket& ticket) const
+const LedgerRegistry::HostedLedger* LedgerRegistry::findLedger(const Ticket& ticket) const
 {
     auto it = m_hostedLedgers.find({ ticket.node, ticket.incarnation });
     return it == m_hostedLedgers.end() ? nullptr : &it->second;
 }
 
-LedgerBook::HostedLedger* LedgerBook::findLedger(const Ticket& ticket)
+LedgerRegistry::HostedLedger* LedgerRegistry::findLedger(const Ticket& ticket)
 {
     auto it = m_hostedLedgers.find({ ticket.node, ticket.incarnation });
     return it == m_hostedLedgers.end() ? nullptr : &it->second;
 }
 
-LedgerBook::HostedLedger* LedgerBook::findLedgerOfRequest(const std::string& requestId)
+LedgerRegistry::HostedLedger* LedgerRegistry::findLedgerOfRequest(const std::string& requestId)
 {
     auto ticket = parseTicket(requestId);
     return ticket ? findLedger(ticket.value()) : nullptr;
 }
 
-Ticket LedgerBook::issue(const std::string& team)
+Ticket LedgerRegistry::issue(const std::string& team)
 {
     auto expiry = now() + static_cast<std::uint64_t>(m_options.ticketLifetime.count());
     std::lock_guard lock(m_mutex);
     return m_hostedLedgers.at({ m_options.node, m_options.incarnation }).issuer->issue(team, expiry);
 }
 
-bool LedgerBook::answersFor(const Ticket& ticket) const
+bool LedgerRegistry::hostsLedgerOf(const Ticket& ticket) const
 {
     std::lock_guard lock(m_mutex);
     return findLedger(ticket) != nullptr;
 }
 
-Result<LedgerDecision> LedgerBook::admit(const Ticket& ticket, const std::string& team)
+Result<LedgerDecision> LedgerRegistry::admit(const Ticket& ticket, const std::string& team)
 {
     std::lock_guard lock(m_mutex);
     auto* hosted = findLedger(ticket);
@@ -69,14 +69,14 @@
     return hosted->ledger.admit(ticket, m_options.node, m_options.incarnation, now() + hosted->clockOffset);
 }
 
-bool LedgerBook::refuse(const Ticket& ticket)
+bool LedgerRegistry::refuse(const Ticket& ticket)
 {
     std::lock_guard lock(m_mutex);
     auto* hosted = findLedger(ticket);
     return hosted && hosted->ledger.refuse(ticket, now() + hosted->clockOffset);
 }
 
-bool LedgerBook::finish(const std::string& requestId, RequestOutcome outcome, int httpStatus, const std::string& body)
+bool LedgerRegistry::finish(const std::string& requestId, RequestOutcome outcome, int httpStatus, const std::string& body)
 {
     std::lock_guard lock(m_mutex);
     auto* hosted = findLedgerOfRequest(requestId);
@@ -85,14 +85,14 @@
     return isFinished;
 }
 
-void LedgerBook::setHolder(const std::string& requestId, const std::string& node, std::uint64_t incarnation)
+void LedgerRegistry::setHolder(const std::string& requestId, const std::string& node, std::uint64_t incarnation)
 {
     std::lock_guard lock(m_mutex);
     if (auto* hosted = findLedgerOfRequest(requestId))
         hosted->ledger.setHolder(requestId, node, incarnation);
 }
 
-std::optional<LedgerEntry> LedgerBook::find(const std::string& requestId) const
+std::optional<LedgerEntry> LedgerRegistry::find(const std::string& requestId) const
 {
     std::lock_guard lock(m_mutex);
     auto ticket = parseTicket(requestId);
@@ -100,7 +100,7 @@
     return hosted ? hosted->ledger.find(requestId) : std::nullopt;
 }
 
-std::optional<LedgerEntry> LedgerBook::waitFinished(const std::string& requestId, Milliseconds limit)
+std::optional<LedgerEntry> LedgerRegistry::waitFinished(const std::string& requestId, Milliseconds limit)
 {
     std::unique_lock lock(m_mutex);
     std::optional<LedgerEntry> entry;
@@ -112,7 +112,7 @@
     return entry;
 }
 
-Status LedgerBook::verify(const Ticket& ticket, const std::string& team) const
+Status LedgerRegistry::verify(const Ticket& ticket, const std::string& team) const
 {
     std::lock_guard lock(m_mutex);
     const auto* hosted = findLedger(ticket);
@@ -123,7 +123,7 @@
     return success();
 }
 
-std::vector<LedgerOfferMessage> LedgerBook::startTransferAll(std::uint32_t generation)
+std::vector<LedgerOfferMessage> LedgerRegistry::startTransferAll(std::uint32_t generation)
 {
     std::lock_guard lock(m_mutex);
     std::vector<LedgerOfferMessage> offers;
@@ -142,20 +142,20 @@
     return offers;
 }
 
-void LedgerBook::cancelTransferAll()
+void LedgerRegistry::cancelTransferAll()
 {
     std::lock_guard lock(m_mutex);
     for (auto& [home, hosted] : m_hostedLedgers)
         hosted.ledger.cancelTransfer();
 }
 
-bool LedgerBook::given() const
+bool LedgerRegistry::given() const
 {
     std::lock_guard lock(m_mutex);
     return m_hostedLedgers.at({ m_options.node, m_options.incarnation }).ledger.isTransferred();
 }
 
-Status LedgerBook::adopt(const LedgerOfferMessage& offer)
+Status LedgerRegistry::adopt(const LedgerOfferMessage& offer)
 {
     std::lock_guard lock(m_mutex);
     HomeIncarnation home { offer.homeNode, offer.homeIncarnation };
@@ -170,7 +170,7 @@
     return success();
 }
 
-void LedgerBook::applyUpdate(const LedgerUpdateMessage& update)
+void LedgerRegistry::applyUpdate(const LedgerUpdateMessage& update)
 {
     std::lock_guard lock(m_mutex);
     auto it = m_hostedLedgers.find({ update.homeNode, update.homeIncarnation });
@@ -180,14 +180,14 @@
     m_changed.notify_all();
 }
 
-void LedgerBook::expire()
+void LedgerRegistry::expire()
 {
     std::lock_guard lock(m_mutex);
     for (auto& [home, hosted] : m_hostedLedgers)
         hosted.ledger.expire(now() + hosted.clockOffset);
 }
 
-std::size_t LedgerBook::entryCount() const
+std::size_t LedgerRegistry::entryCount() const
 {
     std::lock_guard lock(m_mutex);
     std::size_t count = 0;
--- a/modules/request/ledger_book.h
+++ b/modules/request/ledger_registry.h
@@ -37,7 +37,7 @@
     void serialize(Archive& archive) { archive(homeNode, homeIncarnation, entry); }
 };
 
-struct LedgerBookOptions {
+struct LedgerRegistryOptions {
     std::string node {};
     std::uint64_t incarnation { 0 };
     LedgerOptions ledger {};
@@ -45,13 +45,13 @@
     std::size_t maximumAdoptedLedgers { 64 };
 };
 
-class LedgerBook {
+class LedgerRegistry {
 public:
-    explicit LedgerBook(const LedgerBookOptions&);
+    explicit LedgerRegistry(const LedgerRegistryOptions&);
 
     Ticket issue(const std::string& team);
     // Whether this node hosts the ledger of the node incarnation that issued the ticket.
-    bool answersFor(const Ticket&) const;
+    bool hostsLedgerOf(const Ticket&) const;
     // As Ledger::admit(), with this node as the holder. Errors: Unauthorized if the ticket was not issued to this team; NotFound if this
     // node does not host the ticket's ledger.
     Result<LedgerDecision> admit(const Ticket&, const std::string& team);
@@ -93,7 +93,7 @@
     HostedLedger* findLedger(const Ticket&);
     HostedLedger* findLedgerOfRequest(const std::string& requestId);
 
-    LedgerBookOptions m_options;
+    LedgerRegistryOptions m_options;
     SteadyTime m_origin {};
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
--- a/modules/request/model_runner.cpp
+++ b/modules/request/model_runner.cpp
@@ -81,7 +81,7 @@
     auto location = request.place();
     if (location.empty())
         return startAttempt(request, progress);
-    if (interruption == Interruption::EndpointLeaving || m_directory.isLeaving(location.endpoint))
+    if (interruption == Interruption::EndpointDraining || m_directory.isLeaving(location.endpoint))
         return moveOffEndpoint(request, progress);
     return resumeAttempt(request, progress);
 }
@@ -89,7 +89,7 @@
 bool ModelRunner::isSendingAllowed(const ActiveRequest& request) const
 {
     auto digest = digestOf(request.description());
-    return m_suspects.use([&](SuspectBook& book) { return book.maySend(digest, steadyNow()); });
+    return m_suspects.use([&](SuspectTracker& book) { return book.maySend(digest, steadyNow()); });
 }
 
 ModelRunner::Step ModelRunner::startAttempt(ActiveRequest& request, Progress& progress) const
@@ -155,13 +155,13 @@
     EngineStream stream(endpoint.address);
     if (!request.attach(&stream)) {
         // Interrupted before anything was sent, so the credit was not used.
-        m_directory.loads().giveCreditBack(endpoint.id);
+        m_directory.loads().returnGrantedCredit(endpoint.id);
         request.setLocation({});
         return Step::Continue;
     }
     auto incarnationId = fastHash(endpoint.id);
     progress.sentAt = steadyNow();
-    m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(description), incarnationId, zoneHash(endpoint.zone)); });
+    m_suspects.use([&](SuspectTracker& book) { book.onSent(digestOf(description), incarnationId, zoneHash(endpoint.zone)); });
     stream.onHead([&](std::optional<double> limit) { m_directory.loads().namedLimit(endpoint.id, limit, progress.sentAt, m_directory.gatewayCount()); });
     auto end = stream.start(streamRequest, [&](const EngineEvent& event) { return receive(request, streamRequest.streamId, event); });
     request.detach();
@@ -227,14 +227,14 @@
     switch (end) {
     case EngineStreamEnd::Completed: {
         auto incarnationId = fastHash(request.place().endpoint);
-        m_suspects.use([&](SuspectBook& book) { book.onAnswered(digestOf(request.description()), incarnationId, progress.sentAt, steadyNow()); });
-        m_directory.loads().onTaken(request.place().endpoint);
+        m_suspects.use([&](SuspectTracker& book) { book.onAnswered(digestOf(request.description()), incarnationId, progress.sentAt, steadyNow()); });
+        m_directory.loads().onRequestAccepted(request.place().endpoint);
         return finish(request, RequestOutcome::Completed, "answer whole");
     }
     case EngineStreamEnd::NotStarted: {
         auto endpoint = request.place().endpoint;
         reportAttemptEnded(request);
-        m_directory.loads().onTurnedAway(endpoint);
+        m_directory.loads().onRequestRefused(endpoint);
         progress.excluded.insert(endpoint);
         request.setLocation({});
         request.trace(m_options.node, "refused", endpoint + " did not start it");
@@ -259,7 +259,7 @@
 void ModelRunner::reportAttemptEnded(const ActiveRequest& request) const
 {
     auto incarnationId = fastHash(request.place().endpoint);
-    m_suspects.use([&](SuspectBook& book) { book.onEnded(digestOf(request.description()), incarnationId); });
+    m_suspects.use([&](SuspectTracker& book) { book.onEnded(digestOf(request.description()), incarnationId); });
 }
 
 void ModelRunner::onEngineLost(ActiveRequest& request, Progress& progress, const std::string& reason) const
@@ -267,7 +267,7 @@
     auto location = request.place();
     // The end of a draining engine is expected, so it is not blamed on the request.
     if (!m_directory.isLeaving(location.endpoint))
-        m_suspects.use([&](SuspectBook& book) { book.onLost(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
+        m_suspects.use([&](SuspectTracker& book) { book.onLost(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
     abandonAttempt(request, progress, reason);
 }
 
@@ -284,7 +284,7 @@
     (void)EngineClient(location.address).cancel(location.attempt);
 }
 
-ReclaimDecision ModelRunner::planFor(const ActiveRequest& request, double concurrentTransfers) const
+ReclaimDecision ModelRunner::planForDrainingEndpoint(const ActiveRequest& request, double concurrentTransfers) const
 {
     auto location = request.place();
     auto untilEnd = m_directory.timeLeft(location.endpoint);
@@ -299,7 +299,7 @@
 
 ModelRunner::Step ModelRunner::moveOffEndpoint(ActiveRequest& request, Progress& progress) const
 {
-    auto decision = planFor(request, 0);
+    auto decision = planForDrainingEndpoint(request, 0);
     auto location = request.place();
     request.trace(m_options.node, "endpoint_leaving", location.endpoint + ": " + toString(decision.action) + ", " + decision.reason);
     m_metrics.increment("onyxnotch_reclaim_actions_total", { { "action", toString(decision.action) } });
@@ -330,7 +330,7 @@
         return false;
     }
     reportAttemptEnded(request);
-    m_suspects.use([&](SuspectBook& book) { book.onSent(digestOf(request.description()), fastHash(target.id), zoneHash(target.zone)); });
+    m_suspects.use([&](SuspectTracker& book) { book.onSent(digestOf(request.description()), fastHash(target.id), zoneHash(target.zone)); });
     request.setLocation({ .attempt = location.attempt, .endpoint = target.id, .address = target.address });
     request.trace(m_options.node, "transfer_cache", std::to_string(imported.value()) + " tokens to " + target.id);
     m_metrics.increment("onyxnotch_transferred_tokens_total", {}, static_cast<double>(imported.value()));
@@ -341,7 +341,7 @@
 {
     auto location = request.place();
     if (outcome != RequestOutcome::Completed && !location.empty()) {
-        m_suspects.use([&](SuspectBook& book) { book.onLeft(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
+        m_suspects.use([&](SuspectTracker& book) { book.onLeft(digestOf(request.description()), fastHash(location.endpoint), steadyNow()); });
         (void)EngineClient(location.address).cancel(location.attempt);
     }
     request.trace(m_options.node, toString(outcome), reason);
--- a/modules/request/model_runner.h
+++ b/modules/request/model_runner.h
@@ -32,7 +32,7 @@
     void run(ActiveRequest&) const;
     // Decides what to do with a request whose endpoint is draining. `concurrentTransfers` counts the other streams that leave that
     // endpoint.
-    ReclaimDecision planFor(const ActiveRequest&, double concurrentTransfers) const;
+    ReclaimDecision planForDrainingEndpoint(const ActiveRequest&, double concurrentTransfers) const;
 
 private:
     struct Progress;
--- a/modules/request/plain_call.cpp
+++ b/modules/request/plain_call.cpp
@@ -1,7 +1,7 @@
 #include "modules/request/plain_call.h"
 #include "core/net/http_status.h"
 #include "core/net/retry_after.h"
-#include "servers/engine/named_limit.h"
+#include "servers/engine/advertised_limit.h"
 
 #include <algorithm>
 #include <random>
@@ -37,7 +37,7 @@
             break;
         }
         auto digest = digestOf(request.team, request.service, request.path, request.body);
-        if (!m_suspects.use([&](SuspectBook& book) { return book.maySend(digest, steadyNow()); })) {
+        if (!m_suspects.use([&](SuspectTracker& book) { return book.maySend(digest, steadyNow()); })) {
             reason = "endpoints end under this request";
             break;
         }
@@ -87,11 +87,11 @@
     auto digest = digestOf(request.team, request.service, request.path, request.body);
     auto incarnationId = fastHash(endpoint.id);
     auto sentAt = steadyNow();
-    m_suspects.use([&](SuspectBook& book) { book.onSent(digest, incarnationId, zoneHash(endpoint.zone)); });
+    m_suspects.use([&](SuspectTracker& book) { book.onSent(digest, incarnationId, zoneHash(endpoint.zone)); });
     auto answer = tryEndpoint(request, endpoint, deadline);
     bool isGood = answer && answer->outcome == RequestOutcome::Completed && answer->httpStatus / 100 == 2;
     bool isLost = answer && answer->outcome == RequestOutcome::Unknown && !m_isAbandoned && steadyNow() < deadline;
-    m_suspects.use([&](SuspectBook& book) {
+    m_suspects.use([&](SuspectTracker& book) {
         if (isGood)
             book.onAnswered(digest, incarnationId, sentAt, steadyNow());
         else if (isLost)
@@ -127,7 +127,7 @@
     auto onHeaders = [&](const HttpReply& reply) {
         answer.httpStatus = reply.status;
         answer.contentType = reply.header("content-type");
-        if (auto requestedBackoff = HttpStatus::turnsAway(reply.status) ? parseRetryAfter(reply.header("retry-after")) : std::nullopt)
+        if (auto requestedBackoff = HttpStatus::isRefusalStatus(reply.status) ? parseRetryAfter(reply.header("retry-after")) : std::nullopt)
             m_directory.loads().askedRest(endpoint.id, *requestedBackoff);
         m_directory.loads().namedLimit(endpoint.id, namedLimit(reply), sentAt, m_directory.gatewayCount());
         notStarted = reply.status == HttpStatus::serviceUnavailable && !reply.header(notStartedHeader).empty();
@@ -145,9 +145,9 @@
     }
     m_metrics.increment("onyxnotch_plain_attempts_total", { { "service", request.service }, { "result", result ? "ok" : "error" } });
     if (notStarted)
-        m_directory.loads().onTurnedAway(endpoint.id);
+        m_directory.loads().onRequestRefused(endpoint.id);
     if (result && !notStarted) {
-        m_directory.loads().onTaken(endpoint.id);
+        m_directory.loads().onRequestAccepted(endpoint.id);
         return answer;
     }
     if (notStarted || (!result && result.error().code == ErrorCode::Unavailable))
--- a/modules/request/reclaim_plan.cpp
+++ b/modules/request/reclaim_plan.cpp
@@ -17,7 +17,7 @@
 
 ReclaimDecision planReclaim(const ReclaimSituation& situation, const ReclaimOptions& options)
 {
-    if (!options.movesAllowed)
+    if (!options.isMoveAllowed)
         return { .action = ReclaimAction::PrefillAgain, .reason = "settings allow nothing else" };
     double secondsLeft = std::chrono::duration<double>(situation.timeLeft).count();
     double secondsToFinish = options.safetyFactor * situation.remainingTokens * options.tokenSeconds;
--- a/modules/request/reclaim_plan.h
+++ b/modules/request/reclaim_plan.h
@@ -27,7 +27,7 @@
     double tokenSeconds { 0.079 }; // Time between two tokens: the longest that the objective allows.
     double transferTokensPerSecond { 200000 }; // Transfer rate of KV cache between engines, in tokens of context.
     double transferSetupSeconds { 0.05 }; // Fixed time of one transfer.
-    bool movesAllowed { true }; // If false, always prefill again: a baseline for measurements.
+    bool isMoveAllowed { true }; // If false, always prefill again: a baseline for measurements.
     double safetyFactor { 1.5 }; // Factor by which every estimated time is multiplied.
 };
 
--- a/modules/request/request_table.h
+++ b/modules/request/request_table.h
@@ -16,10 +16,10 @@
     std::shared_ptr<ActiveRequest> find(const std::string& id) const;
     void remove(const std::string& id);
     std::vector<std::shared_ptr<ActiveRequest>> all() const;
-    // Number of requests that are being executed here, as counted by noteStarted() and noteEnded().
+    // Number of requests that are being executed here, as counted by incrementRunningCount() and decrementRunningCount().
     std::size_t runningCount() const { return m_runningCount; }
-    void noteStarted() { ++m_runningCount; }
-    void noteEnded() { --m_runningCount; }
+    void incrementRunningCount() { ++m_runningCount; }
+    void decrementRunningCount() { --m_runningCount; }
     // Removes requests that ended more than `retention` before `now`.
     void expire(SteadyTime now, Milliseconds retention);
 
--- a/modules/rollout/answer_pace.h
+++ b/modules/rollout/answer_time_monitor.h
@@ -11,20 +11,20 @@
 // Timing of one complete answer. For a stream, the time to the first event is compared with the expected time, since prompt lengths differ
 // by a factor of a hundred.
 struct AnswerTimes {
-    double firstSeconds { 0 }; // Time to the first event of a stream, or to the end of an answer that is not a stream.
-    double expectedSeconds { 0 }; // Expected value of firstSeconds, from the prompt and the queue at the endpoint; 0 if unknown.
-    double restSeconds { 0 }; // Time from the first event of a stream to its end.
-    unsigned restEvents { 0 }; // Number of events in that time.
+    double secondsToFirstEvent { 0 }; // Time to the first event of a stream, or to the end of an answer that is not a stream.
+    double expectedSeconds { 0 }; // Expected value of secondsToFirstEvent, from the prompt and the queue at the endpoint; 0 if unknown.
+    double streamSeconds { 0 }; // Time from the first event of a stream to its end.
+    unsigned streamEventCount { 0 }; // Number of events in that time.
 };
 
-class AnswerPace {
+class AnswerTimeMonitor {
 public:
     // Adds an answer of a version that is known to be good to the route's averages.
     void observe(const std::string& route, const AnswerTimes& times)
     {
         auto& average = m_averages[route];
         updateMean(average.firstRatio, firstRatioOf(times), average.count);
-        if (times.restEvents > 0)
+        if (times.streamEventCount > 0)
             updateMean(average.secondsPerEvent, secondsPerEventOf(times), average.count);
         ++average.count;
     }
@@ -36,7 +36,7 @@
         if (it == m_averages.end() || it->second.count < minimumAnswers)
             return false;
         const auto& average = it->second;
-        bool isStreamSlow = times.restEvents >= minimumEvents && average.secondsPerEvent > 0 && secondsPerEventOf(times) > std::max(slowFactor * average.secondsPerEvent, average.secondsPerEvent + minimumExcessPerEvent);
+        bool isStreamSlow = times.streamEventCount >= minimumEvents && average.secondsPerEvent > 0 && secondsPerEventOf(times) > std::max(slowFactor * average.secondsPerEvent, average.secondsPerEvent + minimumExcessPerEvent);
         auto minimumExcess = times.expectedSeconds > 0 ? 0 : minimumExcessSeconds;
         return isStreamSlow || firstRatioOf(times) > std::max(slowFactor * average.firstRatio, average.firstRatio + minimumExcess);
     }
@@ -61,8 +61,8 @@
     static constexpr double minimumExpectedSeconds { 0.05 }; // In seconds. Below this, the network round trip matters more than the prompt.
 
     // The time to the first event as a multiple of the expected time, or in seconds if no time is expected.
-    static double firstRatioOf(const AnswerTimes& times) { return times.expectedSeconds > 0 ? times.firstSeconds / std::max(minimumExpectedSeconds, times.expectedSeconds) : times.firstSeconds; }
-    static double secondsPerEventOf(const AnswerTimes& times) { return times.restSeconds / times.restEvents; }
+    static double firstRatioOf(const AnswerTimes& times) { return times.expectedSeconds > 0 ? times.secondsToFirstEvent / std::max(minimumExpectedSeconds, times.expectedSeconds) : times.secondsToFirstEvent; }
+    static double secondsPerEventOf(const AnswerTimes& times) { return times.streamSeconds / times.streamEventCount; }
 
     static void updateMean(double& mean, double value, unsigned count)
     {
--- a/modules/rollout/rollout_evaluator.h
+++ b/modules/rollout/rollout_evaluator.h
@@ -2,7 +2,7 @@
 // version does in the same period. Pure, without I/O.
 #pragma once
 
-#include "modules/rollout/version_news.h"
+#include "modules/rollout/version_update.h"
 #include <string>
 
 namespace Onyxnotch {
--- a/modules/rollout/rollout_keeper.cpp
+++ b/modules/rollout/rollout_manager.cpp
@@ -1,9 +1,9 @@
-#include "modules/rollout/rollout_keeper.h"
+#include "modules/rollout/rollout_manager.h"
 
 #include "core/log.h"
 #include "core/steady_timer.h"
 #include "modules/control/paged_list.h"
-#include "modules/traffic/marked_list.h"
+#include "modules/traffic/draining_list.h"
 #include <algorithm>
 #include <asio/redirect_error.hpp>
 #include <asio/use_awaitable.hpp>
@@ -14,7 +14,7 @@
 
     std::uint64_t trueNow(const NodeSummary& summary)
     {
-        return summary.trueMilliseconds + static_cast<std::uint64_t>(toMilliseconds(steadyNow() - summary.madeAt).count());
+        return summary.fleetTimeMilliseconds + static_cast<std::uint64_t>(toMilliseconds(steadyNow() - summary.madeAt).count());
     }
 
     bool hasSeveralVersions(const std::map<std::string, unsigned>& versions) { return versions.size() > 1; }
@@ -36,7 +36,7 @@
 
 } // namespace
 
-RolloutKeeper::RolloutKeeper(asio::io_context& context, ObjectStore& store, TrafficView& view, NodeSummarySlot& summary, VersionShareSlot& shares, Ports ports, const RolloutKeeperOptions& options)
+RolloutManager::RolloutManager(asio::io_context& context, ObjectStore& store, TrafficView& view, NodeSummarySlot& summary, VersionShareSlot& shares, Ports ports, const RolloutManagerOptions& options)
     : m_context(context)
     , m_store(store)
     , m_view(view)
@@ -47,7 +47,7 @@
 {
 }
 
-asio::awaitable<void> RolloutKeeper::run()
+asio::awaitable<void> RolloutManager::run()
 {
     while (m_options.enabled) {
         co_await sleepFor(m_context, m_options.step);
@@ -55,7 +55,7 @@
     }
 }
 
-asio::awaitable<void> RolloutKeeper::step()
+asio::awaitable<void> RolloutManager::step()
 {
     if (!m_ports.holdsDuties()) {
         m_hasReadOrders = false;
@@ -75,10 +75,10 @@
         co_await recordState(name, rollout);
 }
 
-std::map<std::string, RolloutKeeper::VersionCounts> RolloutKeeper::countVersions(const NodeSummary& summary) const
+std::map<std::string, RolloutManager::VersionCounts> RolloutManager::countVersions(const NodeSummary& summary) const
 {
     std::map<std::string, VersionCounts> counts;
-    auto list = withLeaving(m_view.endpoints(), summary.unlistedLeaving);
+    auto list = withDrainingEndpoints(m_view.endpoints(), summary.unlistedLeavingEndpoints);
     if (!list)
         return counts;
     for (const auto& [id, endpoint] : list->endpoints) {
@@ -90,14 +90,14 @@
     return counts;
 }
 
-bool RolloutKeeper::isReadDue() const
+bool RolloutManager::isReadDue() const
 {
     if (!m_hasReadOrders || steadyNow() - m_ordersReadAt >= m_options.readInterval)
         return true;
     return std::any_of(m_versions.begin(), m_versions.end(), [this](const auto& it) { return hasSeveralVersions(it.second.listed) && !m_mixedAtLastRead.contains(it.first); });
 }
 
-asio::awaitable<bool> RolloutKeeper::readOrders(const NodeSummary& summary)
+asio::awaitable<bool> RolloutManager::readOrders(const NodeSummary& summary)
 {
     std::set<std::string> mixedServices;
     for (const auto& [service, versions] : m_versions) {
@@ -119,7 +119,7 @@
     co_return true;
 }
 
-void RolloutKeeper::applyOrder(const StoreObject& object, const NodeSummary& summary)
+void RolloutManager::applyOrder(const StoreObject& object, const NodeSummary& summary)
 {
     auto order = m_ports.decode(object);
     auto configuration = m_view.configuration();
@@ -153,7 +153,7 @@
     m_rollouts.insert_or_assign(object.name, std::move(rollout));
 }
 
-RolloutInput RolloutKeeper::makeInput(Rollout& rollout, const VersionCounts& versions, const NodeSummary& summary) const
+RolloutInput RolloutManager::makeInput(Rollout& rollout, const VersionCounts& versions, const NodeSummary& summary) const
 {
     RolloutInput input { .duration = rollout.order.duration };
     auto deadline = rollout.orderedAt + static_cast<std::uint64_t>(rollout.order.duration.count());
@@ -182,7 +182,7 @@
     return input;
 }
 
-void RolloutKeeper::decide(const std::string& name, Rollout& rollout, const NodeSummary& summary)
+void RolloutManager::decide(const std::string& name, Rollout& rollout, const NodeSummary& summary)
 {
     if (isEnded(rollout.decision.stage))
         return;
@@ -195,7 +195,7 @@
     rollout.decision = decision;
 }
 
-asio::awaitable<void> RolloutKeeper::recordState(const std::string& name, Rollout& rollout)
+asio::awaitable<void> RolloutManager::recordState(const std::string& name, Rollout& rollout)
 {
     RolloutRecord value { .version = rollout.order.version, .state = stateOf(rollout.decision.stage), .orderedAt = rollout.orderedAt };
     // A node that has just lost the duties must not overwrite what the next holder records.
@@ -213,7 +213,7 @@
     m_hasReadOrders = written.error().code == ErrorCode::Unavailable && m_hasReadOrders;
 }
 
-void RolloutKeeper::publishShares(const NodeSummary& summary)
+void RolloutManager::publishShares(const NodeSummary& summary)
 {
     auto publishedAt = trueNow(summary);
     std::vector<VersionShare> shares;
--- a/modules/rollout/rollout_keeper.h
+++ b/modules/rollout/rollout_manager.h
@@ -13,7 +13,7 @@
 
 namespace Onyxnotch {
 
-struct RolloutKeeperOptions {
+struct RolloutManagerOptions {
     bool enabled { false }; // If false, rollout orders are not read, and all versions receive requests alike.
     RolloutPlanOptions plan {};
     RolloutEvaluatorOptions evaluator {};
@@ -35,7 +35,7 @@
     std::atomic<std::shared_ptr<const std::vector<VersionShare>>> m_shares { std::make_shared<const std::vector<VersionShare>>() };
 };
 
-class RolloutKeeper {
+class RolloutManager {
 public:
     struct Ports {
         std::function<Result<RolloutOrder>(const StoreObject&)> decode {};
@@ -43,7 +43,7 @@
         std::function<bool()> holdsDuties {};
     };
 
-    RolloutKeeper(asio::io_context&, ObjectStore&, TrafficView&, NodeSummarySlot&, VersionShareSlot&, Ports, const RolloutKeeperOptions& options = {});
+    RolloutManager(asio::io_context&, ObjectStore&, TrafficView&, NodeSummarySlot&, VersionShareSlot&, Ports, const RolloutManagerOptions& options = {});
 
     // Runs a step every `step` until the process ends. Returns immediately unless enabled.
     asio::awaitable<void> run();
@@ -83,7 +83,7 @@
     NodeSummarySlot& m_summary;
     VersionShareSlot& m_shares;
     Ports m_ports;
-    RolloutKeeperOptions m_options;
+    RolloutManagerOptions m_options;
     std::map<std::string, Rollout> m_rollouts {}; // By name of the order object.
     std::map<std::string, VersionCounts> m_versions {}; // By service.
     std::map<std::string, std::uint64_t> m_refusedRevisions {}; // Last refused revision of an order object, by name. Each is logged once.
--- a/modules/rollout/version_gate.cpp
+++ b/modules/rollout/version_gate.cpp
@@ -53,7 +53,7 @@
         m_services[service].evaluator = RolloutEvaluator(m_options.evaluator);
 }
 
-void VersionGate::onNews(const VersionNews& others)
+void VersionGate::onPeerUpdate(const VersionUpdate& others)
 {
     m_peerTrials = others.trials;
     for (const auto& share : others.shares) {
@@ -73,11 +73,11 @@
 
 void VersionGate::evaluateRollout(const std::string& name, ServiceState& service)
 {
-    bool hasRollout = service.publishedShare && !service.publishedShare->version.empty() && isMixed(name);
+    bool hasRollout = service.publishedShare && !service.publishedShare->version.empty() && hasSeveralVersions(name);
     if (!hasRollout)
         return;
     auto trials = m_peerTrials;
-    addTrials(trials, m_trials);
+    mergeTrials(trials, m_trials);
     if (service.evaluator.update(evidenceOf(trials, name, service.publishedShare->version)) == RolloutVerdict::Bad)
         markStopped({ .service = name, .version = service.publishedShare->version, .orderedAt = service.publishedShare->orderedAt });
 }
@@ -102,13 +102,13 @@
     return std::any_of(m_stopped.begin(), m_stopped.end(), [&](const auto& it) { return it.service == service && it.version == version && it.orderedAt >= latestOrderedAt; });
 }
 
-bool VersionGate::isMixed(const std::string& service) const
+bool VersionGate::hasSeveralVersions(const std::string& service) const
 {
     auto it = m_services.find(service);
     return it != m_services.end() && it->second.ready.size() > 1;
 }
 
-bool VersionGate::isOnTrial(const std::string& service, const std::string& version) const
+bool VersionGate::isNotKnownGood(const std::string& service, const std::string& version) const
 {
     auto it = m_services.find(service);
     return it != m_services.end() && it->second.ready.size() > 1 && it->second.knownGood != version;
--- a/modules/rollout/version_gate.h
+++ b/modules/rollout/version_gate.h
@@ -39,14 +39,14 @@
     // Takes the current endpoint list and updates the versions of all services.
     void onList(const EndpointList&, SteadyTime now);
     // Takes the state received from the fleet, which excludes this node's own trial counts.
-    void onNews(const VersionNews& others);
+    void onPeerUpdate(const VersionUpdate& others);
 
     // Returns the restrictions for one request. `selector` must be uniformly distributed, for instance a hash of the request's id.
     VersionLimits limitsFor(const std::string& service, std::uint64_t selector, SteadyTime now) const;
     // Whether several versions of the service run side by side, so that their answers are counted.
-    bool isMixed(const std::string& service) const;
+    bool hasSeveralVersions(const std::string& service) const;
     // Whether several versions run and this one is not the known good one: a rollout's target, or a version without a published share.
-    bool isOnTrial(const std::string& service, const std::string& version) const;
+    bool isNotKnownGood(const std::string& service, const std::string& version) const;
 
     // Count the requests that this node sends, and their ends. To be called for services with several versions.
     void onSent(const VersionRoute&);
--- a/modules/rollout/version_news.h
+++ b/modules/rollout/version_update.h
@@ -91,27 +91,27 @@
 };
 
 // The complete version state that a node, or the aggregate of a group of nodes, sends. Empty while every service runs a single version.
-struct VersionNews {
+struct VersionUpdate {
     VersionTrials trials {};
     std::vector<VersionShare> shares {};
     std::vector<StoppedVersion> stopped {};
 
-    bool operator==(const VersionNews&) const = default;
+    bool operator==(const VersionUpdate&) const = default;
 
     template <class Archive>
     void serialize(Archive& archive) { archive(trials, shares, stopped); }
 };
 
-inline void addTrials(VersionTrials& sum, const VersionTrials& other)
+inline void mergeTrials(VersionTrials& sum, const VersionTrials& other)
 {
     for (const auto& [route, counts] : other)
         sum[route] += counts;
 }
 
 // Merges `other` into `sum`: counts are added, stopped versions united, and for each service the share published last is kept.
-inline void addNews(VersionNews& sum, const VersionNews& other)
+inline void mergeUpdate(VersionUpdate& sum, const VersionUpdate& other)
 {
-    addTrials(sum.trials, other.trials);
+    mergeTrials(sum.trials, other.trials);
     for (const auto& share : other.shares) {
         auto known = sum.shares.begin();
         while (known != sum.shares.end() && known->service != share.service)
--- a/modules/routing/load_tracker.cpp
+++ b/modules/routing/load_tracker.cpp
@@ -119,13 +119,13 @@
 void LoadTracker::namedLimit(const std::string& endpoint, std::optional<double> perSecond, SteadyTime sentAt, unsigned gateways)
 {
     std::lock_guard lock(m_mutex);
-    EndpointLife incarnation { .id = endpoint };
+    EndpointIncarnation incarnation { .id = endpoint };
     if (!perSecond && !m_limits.knows(incarnation))
         return;
     auto now = steadyNow();
     auto toMilliseconds = [](SteadyTime at) { return static_cast<std::uint64_t>(std::chrono::duration_cast<Milliseconds>(at.time_since_epoch()).count()); };
-    m_limits.setSpeakingPart(1.0 / std::max(1U, gateways));
-    m_limits.hear({ .endpoint = incarnation, .perSecond = std::min(perSecond.value_or(unlimitedPerSecond), unlimitedPerSecond), .sentAt = toMilliseconds(sentAt), .heardAt = toMilliseconds(now) }, now);
+    m_limits.setReachableShare(1.0 / std::max(1U, gateways));
+    m_limits.onAdvertisedLimit({ .endpoint = incarnation, .perSecond = std::min(perSecond.value_or(unlimitedPerSecond), unlimitedPerSecond), .sentAt = toMilliseconds(sentAt), .receivedAt = toMilliseconds(now) }, now);
 }
 
 bool LoadTracker::takeCredit(const std::string& endpoint)
@@ -134,28 +134,28 @@
     return m_limits.take({ .id = endpoint }, 1, steadyNow());
 }
 
-void LoadTracker::giveCreditBack(const std::string& endpoint)
+void LoadTracker::returnGrantedCredit(const std::string& endpoint)
 {
     std::lock_guard lock(m_mutex);
-    m_limits.giveBack({ .id = endpoint }, steadyNow());
+    m_limits.refundCredit({ .id = endpoint }, steadyNow());
 }
 
-Milliseconds LoadTracker::untilReady(const std::string& endpoint) const
+Milliseconds LoadTracker::timeUntilReady(const std::string& endpoint) const
 {
     std::lock_guard lock(m_mutex);
-    EndpointLife incarnation { .id = endpoint };
+    EndpointIncarnation incarnation { .id = endpoint };
     auto now = steadyNow();
     auto ready = std::max(m_backoffs.endOf(incarnation), m_limits.creditAt(incarnation, now));
     return std::max(Milliseconds(0), std::chrono::ceil<Milliseconds>(ready - now));
 }
 
-void LoadTracker::onTurnedAway(const std::string& endpoint)
+void LoadTracker::onRequestRefused(const std::string& endpoint)
 {
     std::lock_guard lock(m_mutex);
-    m_entries[endpoint].health.onTurnedAway(steadyNow());
+    m_entries[endpoint].health.onRequestRefused(steadyNow());
 }
 
-void LoadTracker::onTaken(const std::string& endpoint)
+void LoadTracker::onRequestAccepted(const std::string& endpoint)
 {
     std::lock_guard lock(m_mutex);
     m_entries[endpoint].health.onSuccess();
--- a/modules/routing/load_tracker.h
+++ b/modules/routing/load_tracker.h
@@ -2,8 +2,8 @@
 // delay. Also tracks when an endpoint may be sent a request: requested backoff, advertised rate limits, and pauses after refusals.
 #pragma once
 
+#include "modules/balance/endpoint_backoffs.h"
 #include "modules/balance/endpoint_health.h"
-#include "modules/balance/endpoint_rests.h"
 #include "modules/limits/endpoint_limits.h"
 #include "modules/routing/route.h"
 #include "servers/engine/engine_client.h"
@@ -57,14 +57,14 @@
     // Takes one credit of the advertised limit, for a request about to be sent. Returns false if none is left.
     bool takeCredit(const std::string& endpoint);
     // Returns the credit of a request that was not sent.
-    void giveCreditBack(const std::string& endpoint);
+    void returnGrantedCredit(const std::string& endpoint);
     // Time until the endpoint's backoff is over and a credit may be available; 0 if a request may be sent now.
-    Milliseconds untilReady(const std::string& endpoint) const;
+    Milliseconds timeUntilReady(const std::string& endpoint) const;
     // The endpoint refused a request. It is paused then: it would otherwise be chosen for the next request too, since it responds faster
     // than the others and has nothing in flight.
-    void onTurnedAway(const std::string& endpoint);
+    void onRequestRefused(const std::string& endpoint);
     // The endpoint executed a request; ends its pause.
-    void onTaken(const std::string& endpoint);
+    void onRequestAccepted(const std::string& endpoint);
     // Whether the endpoint is paused after refusals, and should be avoided if other endpoints can take a request.
     bool isPaused(const std::string& endpoint) const;
 
@@ -88,7 +88,7 @@
     LoadTrackerOptions m_options;
     mutable std::mutex m_mutex;
     std::map<std::string, Entry> m_entries {};
-    EndpointRests m_backoffs {};
+    EndpointBackoffs m_backoffs {};
     EndpointLimits m_limits {};
 };
 
--- a/modules/suspects/shared_suspects.h
+++ b/modules/suspects/shared_suspects.h
@@ -1,7 +1,7 @@
-// A SuspectBook protected by a mutex, for use by several threads.
+// A SuspectTracker protected by a mutex, for use by several threads.
 #pragma once
 
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include <mutex>
 
 namespace Onyxnotch {
@@ -23,7 +23,7 @@
 
 private:
     std::mutex m_mutex {};
-    SuspectBook m_book;
+    SuspectTracker m_book;
 };
 
 } // namespace Onyxnotch
--- a/modules/suspects/suspect_book.cpp
+++ b/modules/suspects/suspect_tracker.cpp
@@ -1,4 +1,4 @@
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -41,27 +41,27 @@
 
 } // namespace
 
-SuspectBook::SuspectBook(SuspectOptions options)
+SuspectTracker::SuspectTracker(SuspectOptions options)
     : m_options(std::move(options))
     , m_goodAnswers(m_options.goodAnswerSlots)
 {
 }
 
-std::size_t SuspectBook::slotOf(const RequestDigest& request) const { return hashOf(request) % m_goodAnswers.size(); }
+std::size_t SuspectTracker::slotOf(const RequestDigest& request) const { return hashOf(request) % m_goodAnswers.size(); }
 
-bool SuspectBook::wasAnsweredWell(const RequestDigest& request, SteadyTime now) const
+bool SuspectTracker::wasAnsweredWell(const RequestDigest& request, SteadyTime now) const
 {
     const auto& known = m_goodAnswers[slotOf(request)];
     return known.at != SteadyTime {} && known.request == request && now - known.at < m_options.goodAnswerValidity;
 }
 
-bool SuspectBook::sawAnsweredWell(const RequestDigest& request, SteadyTime now) const { return wasAnsweredWell(request, now) && m_goodAnswers[slotOf(request)].seenHere; }
+bool SuspectTracker::sawAnsweredWell(const RequestDigest& request, SteadyTime now) const { return wasAnsweredWell(request, now) && m_goodAnswers[slotOf(request)].seenHere; }
 
-bool SuspectBook::runs(const RequestDigest& request) const { return m_running.contains(request); }
+bool SuspectTracker::runs(const RequestDigest& request) const { return m_running.contains(request); }
 
-Milliseconds SuspectBook::blockDuration(const Blocked& blocked) const { return m_options.blockedFor * (1U << std::min<unsigned>(blocked.round, m_options.maxDoublings)); }
+Milliseconds SuspectTracker::blockDuration(const Blocked& blocked) const { return m_options.blockedFor * (1U << std::min<unsigned>(blocked.round, m_options.maxDoublings)); }
 
-SteadyTime SuspectBook::trialAt(const RequestDigest& request, const Blocked& blocked) const
+SteadyTime SuspectTracker::trialAt(const RequestDigest& request, const Blocked& blocked) const
 {
     constexpr unsigned parts = 1000;
     auto wait = blockDuration(blocked);
@@ -69,14 +69,14 @@
 }
 
 // Earliest trial time of any node. One second is subtracted because nodes report the age of a block in whole seconds.
-SteadyTime SuspectBook::firstTrialAt(const Blocked& blocked) const { return blocked.since + blockDuration(blocked) - std::chrono::seconds(1); }
+SteadyTime SuspectTracker::firstTrialAt(const Blocked& blocked) const { return blocked.since + blockDuration(blocked) - std::chrono::seconds(1); }
 
 // By then every node could have tried the request, and no client sent it.
-SteadyTime SuspectBook::expiresAt(const Blocked& blocked) const { return blocked.since + blockDuration(blocked) * 3; }
+SteadyTime SuspectTracker::expiresAt(const Blocked& blocked) const { return blocked.since + blockDuration(blocked) * 3; }
 
-bool SuspectBook::isOnTrial(const RequestDigest& request, const Blocked& blocked, SteadyTime now) const { return now >= trialAt(request, blocked); }
+bool SuspectTracker::isOnTrial(const RequestDigest& request, const Blocked& blocked, SteadyTime now) const { return now >= trialAt(request, blocked); }
 
-SuspectVerdict SuspectBook::verdict(const RequestDigest& request, SteadyTime now) const
+SuspectVerdict SuspectTracker::verdict(const RequestDigest& request, SteadyTime now) const
 {
     auto blocked = m_blocked.find(request);
     if (blocked != m_blocked.end())
@@ -88,7 +88,7 @@
     return isFree ? SuspectVerdict::Free : SuspectVerdict::OneAtATime;
 }
 
-bool SuspectBook::maySend(const RequestDigest& request, SteadyTime now) const
+bool SuspectTracker::maySend(const RequestDigest& request, SteadyTime now) const
 {
     switch (verdict(request, now)) {
     case SuspectVerdict::Free:
@@ -101,7 +101,7 @@
     return false;
 }
 
-bool SuspectBook::maySendAgain(const RequestDigest& request, SteadyTime now) const
+bool SuspectTracker::isRetryAllowed(const RequestDigest& request, SteadyTime now) const
 {
     if (!maySend(request, now) || m_blocked.contains(request))
         return false;
@@ -109,19 +109,19 @@
     return suspect == m_suspects.end() || suspect->second.countedEnds.size() < m_options.livesUntilOneTry;
 }
 
-unsigned SuspectBook::endedLives(const RequestDigest& request) const
+unsigned SuspectTracker::endedIncarnations(const RequestDigest& request) const
 {
     auto it = m_suspects.find(request);
     return it == m_suspects.end() ? 0 : static_cast<unsigned>(it->second.incarnations.size());
 }
 
-Milliseconds SuspectBook::blockedLeft(const RequestDigest& request, SteadyTime now) const
+Milliseconds SuspectTracker::remainingBlockTime(const RequestDigest& request, SteadyTime now) const
 {
     auto it = m_blocked.find(request);
     return it == m_blocked.end() ? Milliseconds(0) : std::max(Milliseconds(0), toMilliseconds(trialAt(request, it->second) - now));
 }
 
-void SuspectBook::onSent(const RequestDigest& request, std::uint64_t life, std::uint16_t zone)
+void SuspectTracker::onSent(const RequestDigest& request, std::uint64_t life, std::uint16_t zone)
 {
     ++m_running[request];
     m_sentRequests[life].push_back({ .request = request, .zone = zone });
@@ -129,7 +129,7 @@
 
 // Removes one running copy of the request at that incarnation; it doesn't matter which. Does nothing if there is none, as the same end
 // may be reported twice.
-EndReport SuspectBook::removeRunning(const RequestDigest& request, std::uint64_t life)
+EndReport SuspectTracker::removeRunning(const RequestDigest& request, std::uint64_t life)
 {
     EndReport report { .request = request, .life = life };
     auto sentRequests = m_sentRequests.find(life);
@@ -149,7 +149,7 @@
     return report;
 }
 
-void SuspectBook::onAnswered(const RequestDigest& request, std::uint64_t life, SteadyTime sentAt, SteadyTime now)
+void SuspectTracker::onAnswered(const RequestDigest& request, std::uint64_t life, SteadyTime sentAt, SteadyTime now)
 {
     removeRunning(request, life);
     auto& known = m_goodAnswers[slotOf(request)];
@@ -163,9 +163,9 @@
         clear(request, sentAt, true, now);
 }
 
-void SuspectBook::onEnded(const RequestDigest& request, std::uint64_t life) { removeRunning(request, life); }
+void SuspectTracker::onEnded(const RequestDigest& request, std::uint64_t life) { removeRunning(request, life); }
 
-void SuspectBook::onLeft(const RequestDigest& request, std::uint64_t life, SteadyTime now)
+void SuspectTracker::onLeft(const RequestDigest& request, std::uint64_t life, SteadyTime now)
 {
     auto report = removeRunning(request, life);
     if (m_removedIncarnations.contains(life))
@@ -174,20 +174,20 @@
         m_sentRequests[life].push_back({ .request = request, .zone = report.zone, .abandonedAt = now });
 }
 
-void SuspectBook::onLost(const RequestDigest& request, std::uint64_t life, SteadyTime now)
+void SuspectTracker::onLost(const RequestDigest& request, std::uint64_t life, SteadyTime now)
 {
     suspect(removeRunning(request, life), true, now);
     // Copies that still run there will lose their own connections.
     suspectAbandoned(life, m_options.abandonedBlamePeriod, now);
 }
 
-void SuspectBook::onLifeGone(std::uint64_t life, SteadyTime now)
+void SuspectTracker::onIncarnationRemoved(std::uint64_t life, SteadyTime now)
 {
     m_removedIncarnations[life] = now;
     suspectAbandoned(life, m_options.abandonedSuspectPeriod, now);
 }
 
-void SuspectBook::suspectAbandoned(std::uint64_t life, Milliseconds within, SteadyTime now)
+void SuspectTracker::suspectAbandoned(std::uint64_t life, Milliseconds within, SteadyTime now)
 {
     auto sentRequests = m_sentRequests.find(life);
     if (sentRequests == m_sentRequests.end())
@@ -198,7 +198,7 @@
     }
 }
 
-void SuspectBook::suspect(const EndReport& report, bool foundHere, SteadyTime now)
+void SuspectTracker::suspect(const EndReport& report, bool foundHere, SteadyTime now)
 {
     const auto& [request, life, zone] = report;
     if (m_options.livesUntilBlocked == 0)
@@ -209,14 +209,14 @@
     updateKnownGood(request, suspect, now);
     bool isNew = suspect.incarnations.emplace(life, zone).second;
     if (foundHere && suspect.found.try_emplace(life, now).second)
-        m_hasNews = true;
+        m_hasUpdate = true;
     // An end that wasn't counted while the request was known good is counted once it is found again and the request no longer is.
     bool counts = isNew ? !suspect.isKnownGood || isSeparateMoment(suspect, life, now) : foundHere && !suspect.isKnownGood;
     if (isNew)
         suspect.lastEndAt = now;
     if (!counts || !suspect.countedEnds.emplace(life, now).second)
         return;
-    m_worthRelaying = m_worthRelaying || suspect.incarnations.size() >= m_options.livesUntilOneAtATime;
+    m_relayDue = m_relayDue || suspect.incarnations.size() >= m_options.livesUntilOneAtATime;
     auto blocked = m_blocked.find(request);
     bool trialFailed = blocked != m_blocked.end() && foundHere && isOnTrial(request, blocked->second, now);
     if (trialFailed || (blocked == m_blocked.end() && mustBlock(suspect)))
@@ -224,13 +224,13 @@
     evictOldest();
 }
 
-bool SuspectBook::isSeparateMoment(const Suspect& suspect, std::uint64_t life, SteadyTime at) const
+bool SuspectTracker::isSeparateMoment(const Suspect& suspect, std::uint64_t life, SteadyTime at) const
 {
     auto zone = suspect.incarnations.at(life);
     return std::none_of(suspect.countedEnds.begin(), suspect.countedEnds.end(), [&](const auto& it) { return suspect.incarnations.at(it.first) == zone && at - it.second < m_options.momentDuration; });
 }
 
-void SuspectBook::updateKnownGood(const RequestDigest& request, Suspect& suspect, SteadyTime now) const
+void SuspectTracker::updateKnownGood(const RequestDigest& request, Suspect& suspect, SteadyTime now) const
 {
     bool wasKnownGoodBefore = std::exchange(suspect.isKnownGood, wasAnsweredWell(request, now));
     if (wasKnownGoodBefore || !suspect.isKnownGood)
@@ -245,23 +245,23 @@
     }
 }
 
-bool SuspectBook::mustBlock(const Suspect& suspect) const
+bool SuspectTracker::mustBlock(const Suspect& suspect) const
 {
     return suspect.countedEnds.size() >= (suspect.isKnownGood ? m_options.momentsUntilBlocked : m_options.livesUntilBlocked);
 }
 
-void SuspectBook::block(const RequestDigest& request, Suspect& suspect, SteadyTime now)
+void SuspectTracker::block(const RequestDigest& request, Suspect& suspect, SteadyTime now)
 {
     auto [it, isNew] = m_blocked.try_emplace(request);
     it->second.round = static_cast<std::uint16_t>(isNew ? 0 : it->second.round + 1);
     it->second.since = now;
     it->second.wasKnownGood = suspect.isKnownGood;
-    m_hasNews = true;
+    m_hasUpdate = true;
     if (!suspect.found.empty())
         m_newlyBlocked.push_back({ .request = request, .round = it->second.round });
 }
 
-void SuspectBook::onPeerBlocked(const BlockedRequest& update, SteadyTime now)
+void SuspectTracker::onPeerBlocked(const BlockedRequest& update, SteadyTime now)
 {
     // The reporting node doesn't know yet that the request was cleared, or that it was answered well shortly before.
     if (isCleared(update.request))
@@ -273,7 +273,7 @@
     }
     auto since = now - std::chrono::seconds(update.ageSeconds);
     auto [it, isNew] = m_blocked.try_emplace(update.request, Blocked { .round = update.round, .since = since, .wasKnownGood = update.wasKnownGood });
-    m_worthRelaying = m_worthRelaying || isNew;
+    m_relayDue = m_relayDue || isNew;
     it->second.wasKnownGood = it->second.wasKnownGood || update.wasKnownGood;
     if (isNew || update.round < it->second.round)
         return;
@@ -283,7 +283,7 @@
         it->second.since = std::min(it->second.since, since);
 }
 
-void SuspectBook::unblock(const RequestDigest& request, bool foundHere)
+void SuspectTracker::unblock(const RequestDigest& request, bool foundHere)
 {
     auto suspect = m_suspects.find(request);
     bool wasBlockedHere = suspect != m_suspects.end() && !suspect->second.found.empty();
@@ -291,20 +291,20 @@
         m_newlyCleared.push_back(request);
 }
 
-void SuspectBook::rememberGoodAnswer(const RequestDigest& request, SteadyTime sentAt, SteadyTime now)
+void SuspectTracker::rememberGoodAnswer(const RequestDigest& request, SteadyTime sentAt, SteadyTime now)
 {
     if (!wasAnsweredWell(request, now))
         m_goodAnswers[slotOf(request)] = { .request = request, .at = sentAt };
 }
 
-bool SuspectBook::isCleared(const RequestDigest& request) const
+bool SuspectTracker::isCleared(const RequestDigest& request) const
 {
     auto it = m_cleared.find(request);
     return it != m_cleared.end() && it->second.isFullyCleared;
 }
 
 // If the request is known good, only its oldest ends are removed: one answer counts against a limited number of ends.
-void SuspectBook::removeEndsBefore(Suspect& suspect, SteadyTime sentAt) const
+void SuspectTracker::removeEndsBefore(Suspect& suspect, SteadyTime sentAt) const
 {
     std::vector<std::pair<SteadyTime, std::uint64_t>> removable;
     for (const auto& [life, at] : suspect.countedEnds) {
@@ -318,7 +318,7 @@
         suspect.countedEnds.erase(life);
 }
 
-bool SuspectBook::clearEndsBefore(const RequestDigest& request, SteadyTime sentAt, bool foundHere, SteadyTime now)
+bool SuspectTracker::clearEndsBefore(const RequestDigest& request, SteadyTime sentAt, bool foundHere, SteadyTime now)
 {
     auto suspect = m_suspects.find(request);
     auto blocked = m_blocked.find(request);
@@ -335,17 +335,17 @@
     return true;
 }
 
-void SuspectBook::clear(const RequestDigest& request, SteadyTime sentAt, bool foundHere, SteadyTime now)
+void SuspectTracker::clear(const RequestDigest& request, SteadyTime sentAt, bool foundHere, SteadyTime now)
 {
     rememberGoodAnswer(request, sentAt, now);
     bool isFullyCleared = clearEndsBefore(request, sentAt, foundHere, now);
     auto& cleared = m_cleared[request];
-    m_hasNews = m_hasNews || (foundHere && (!cleared.foundHere || sentAt > cleared.sentAt));
-    m_worthRelaying = true;
+    m_hasUpdate = m_hasUpdate || (foundHere && (!cleared.foundHere || sentAt > cleared.sentAt));
+    m_relayDue = true;
     cleared = { .at = now, .sentAt = std::max(cleared.sentAt, sentAt), .foundHere = cleared.foundHere || foundHere, .isFullyCleared = isFullyCleared };
 }
 
-void SuspectBook::onPeerCleared(const ClearedRequest& update, SteadyTime now)
+void SuspectTracker::onPeerCleared(const ClearedRequest& update, SteadyTime now)
 {
     auto sentAt = now - Milliseconds(update.sentAgoMilliseconds);
     auto known = m_cleared.find(update.request);
@@ -354,13 +354,13 @@
         clear(update.request, sentAt, false, now);
 }
 
-void SuspectBook::markKnownGood(const RequestDigest& request, bool foundHere, SteadyTime now)
+void SuspectTracker::markKnownGood(const RequestDigest& request, bool foundHere, SteadyTime now)
 {
     auto [knownGood, isNew] = m_knownGood.try_emplace(request, GoodReport { .at = now, .sentAt = now, .foundHere = foundHere });
     if (!isNew)
         return;
-    m_hasNews = m_hasNews || foundHere;
-    m_worthRelaying = true;
+    m_hasUpdate = m_hasUpdate || foundHere;
+    m_relayDue = true;
     rememberGoodAnswer(request, now, now);
     auto suspect = m_suspects.find(request);
     if (suspect != m_suspects.end())
@@ -370,7 +370,7 @@
         unblock(request, foundHere);
 }
 
-void SuspectBook::onNews(const SuspectNews& news, SteadyTime now)
+void SuspectTracker::onPeerUpdate(const SuspectUpdate& news, SteadyTime now)
 {
     for (const auto& it : news.cleared)
         onPeerCleared(it, now);
@@ -387,14 +387,14 @@
     evictOldest();
 }
 
-SuspectNews SuspectBook::news(SteadyTime now) { return collectUpdate(false, now); }
+SuspectUpdate SuspectTracker::news(SteadyTime now) { return collectUpdate(false, now); }
 
-SuspectNews SuspectBook::relayedNews(SteadyTime now) { return collectUpdate(true, now); }
+SuspectUpdate SuspectTracker::relayedUpdate(SteadyTime now) { return collectUpdate(true, now); }
 
-SuspectNews SuspectBook::collectUpdate(bool includePeerFindings, SteadyTime now)
+SuspectUpdate SuspectTracker::collectUpdate(bool includePeerFindings, SteadyTime now)
 {
-    forgetOld(now);
-    SuspectNews update;
+    purgeExpired(now);
+    SuspectUpdate update;
     for (const auto& [request, suspect] : m_suspects) {
         bool all = includePeerFindings && suspect.incarnations.size() >= m_options.livesUntilOneAtATime && now - suspect.lastEndAt < m_options.reportSendPeriod;
         for (const auto& [life, zone] : suspect.incarnations) {
@@ -413,11 +413,11 @@
         if (includePeerFindings || goodReport.foundHere)
             update.knownGood.push_back(request);
     }
-    limitNews(update);
+    truncateUpdate(update);
     return update;
 }
 
-void SuspectBook::forgetOld(SteadyTime now)
+void SuspectTracker::purgeExpired(SteadyTime now)
 {
     std::erase_if(m_suspects, [&](const auto& it) { return now - it.second.lastEndAt > m_options.reportRetention; });
     for (auto* goodReports : { &m_cleared, &m_knownGood })
@@ -429,7 +429,7 @@
     std::erase_if(m_sentRequests, [](const auto& it) { return it.second.empty(); });
 }
 
-void SuspectBook::evictOldest()
+void SuspectTracker::evictOldest()
 {
     dropOldest(m_suspects, m_options.mostSuspects, [](const auto& it) { return it.lastEndAt; });
     dropOldest(m_blocked, m_options.mostBlocked, [](const auto& it) { return it.since; });
--- a/modules/suspects/suspect_book.h
+++ b/modules/suspects/suspect_tracker.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "core/clock.h"
-#include "modules/suspects/suspect_news.h"
+#include "modules/suspects/suspect_update.h"
 #include <algorithm>
 #include <map>
 #include <optional>
@@ -65,19 +65,19 @@
     Blocked,
 };
 
-class SuspectBook {
+class SuspectTracker {
 public:
-    explicit SuspectBook(SuspectOptions options = {});
+    explicit SuspectTracker(SuspectOptions options = {});
 
     SuspectVerdict verdict(const RequestDigest&, SteadyTime now) const;
     // Applies the verdict to the copies that run at this node: returns true if the request may be sent now.
     bool maySend(const RequestDigest&, SteadyTime now) const;
     // Returns true if the request may be sent to a second endpoint within one attempt of its client.
-    bool maySendAgain(const RequestDigest&, SteadyTime now) const;
+    bool isRetryAllowed(const RequestDigest&, SteadyTime now) const;
     // Number of endpoint incarnations that ended under the request, as far as this node knows.
-    unsigned endedLives(const RequestDigest&) const;
+    unsigned endedIncarnations(const RequestDigest&) const;
     // Time until this node may send a blocked request as a trial; 0 if it isn't blocked.
-    Milliseconds blockedLeft(const RequestDigest&, SteadyTime now) const;
+    Milliseconds remainingBlockTime(const RequestDigest&, SteadyTime now) const;
 
     // The request was sent to that incarnation. `zone` is the hash of its zone, 0 if unknown. Must be followed by exactly one call of
     // onAnswered(), onEnded(), onLeft() or onLost().
@@ -93,21 +93,21 @@
     void onLost(const RequestDigest&, std::uint64_t life, SteadyTime now);
     // The incarnation is no longer listed, and had not announced that it shuts down. Copies that run there may still be answered; copies
     // that are abandoned there, or were shortly before, are suspected.
-    void onLifeGone(std::uint64_t life, SteadyTime now);
+    void onIncarnationRemoved(std::uint64_t life, SteadyTime now);
 
-    void onNews(const SuspectNews&, SteadyTime now);
+    void onPeerUpdate(const SuspectUpdate&, SteadyTime now);
     // Returns what this node publishes: its own findings, and all blocked requests.
-    SuspectNews news(SteadyTime now);
+    SuspectUpdate news(SteadyTime now);
     // Returns what a relay node forwards immediately: in addition to news(), findings of other nodes about requests under which several
     // endpoints ended.
-    SuspectNews relayedNews(SteadyTime now);
+    SuspectUpdate relayedUpdate(SteadyTime now);
     // Returns true if this node found something since the last call that should be sent to the other nodes immediately.
-    bool takeHasNews() { return std::exchange(m_hasNews, false); }
+    bool takeHasUpdate() { return std::exchange(m_hasUpdate, false); }
 
     // Returns true if other nodes reported something since the last call that a relay node should forward immediately: a request under
     // which a second endpoint ended, or a blocked, cleared or known good request. Requests with one ended endpoint each, as after the
     // loss of a zone, aren't included.
-    bool takeWorthRelaying() { return std::exchange(m_worthRelaying, false); }
+    bool takeRelayDue() { return std::exchange(m_relayDue, false); }
 
     // Returns the requests that were blocked since the last call and that this node itself suspected, for the store and the log.
     std::vector<BlockedRequest> takeNewlyBlocked() { return std::exchange(m_newlyBlocked, {}); }
@@ -115,7 +115,7 @@
     std::vector<RequestDigest> takeNewlyCleared() { return std::exchange(m_newlyCleared, {}); }
     std::size_t blockedRequests() const { return m_blocked.size(); }
     // Removes expired entries. Must be called periodically.
-    void forgetOld(SteadyTime now);
+    void purgeExpired(SteadyTime now);
 
 private:
     struct Suspect {
@@ -160,7 +160,7 @@
         bool seenHere { false };
     };
 
-    SuspectNews collectUpdate(bool includePeerFindings, SteadyTime now);
+    SuspectUpdate collectUpdate(bool includePeerFindings, SteadyTime now);
     void suspect(const EndReport&, bool foundHere, SteadyTime now);
     // Updates `isKnownGood` from the good answers known now. If it becomes true, the counted ends are reduced to one per moment.
     void updateKnownGood(const RequestDigest&, Suspect&, SteadyTime now) const;
@@ -207,8 +207,8 @@
     std::vector<GoodAnswer> m_goodAnswers; // Hash table with one entry per slot; a newer entry replaces an older one.
     std::vector<BlockedRequest> m_newlyBlocked {};
     std::vector<RequestDigest> m_newlyCleared {};
-    bool m_hasNews { false };
-    bool m_worthRelaying { false };
+    bool m_hasUpdate { false };
+    bool m_relayDue { false };
 };
 
 } // namespace Onyxnotch
--- a/modules/suspects/suspect_news.cpp
+++ b/modules/suspects/suspect_update.cpp
@@ -1,4 +1,4 @@
-#include "modules/suspects/suspect_news.h"
+#include "modules/suspects/suspect_update.h"
 
 #include <algorithm>
 #include <map>
@@ -40,7 +40,7 @@
 
 } // namespace
 
-void addNews(SuspectNews& sum, const SuspectNews& other)
+void mergeUpdate(SuspectUpdate& sum, const SuspectUpdate& other)
 {
     append(sum.reports, other.reports);
     append(sum.blocked, other.blocked);
@@ -48,7 +48,7 @@
     append(sum.knownGood, other.knownGood);
 }
 
-void limitNews(SuspectNews& news, const SuspectNewsLimits& limits)
+void truncateUpdate(SuspectUpdate& news, const SuspectUpdateLimits& limits)
 {
     sortUnique(news.reports);
     keepBest(news.blocked);
--- a/modules/suspects/suspect_news.h
+++ b/modules/suspects/suspect_update.h
@@ -53,13 +53,13 @@
 };
 
 // Everything that a node or a group of nodes reports about suspected requests. Empty while no endpoints end unannounced.
-struct SuspectNews {
+struct SuspectUpdate {
     std::vector<EndReport> reports {}; // Endpoint ends of the last seconds.
     std::vector<BlockedRequest> blocked {};
     std::vector<ClearedRequest> cleared {}; // Recently suspected requests that an endpoint has answered well since.
     std::vector<RequestDigest> knownGood {}; // Known good requests: suspected now, but an endpoint answered them well shortly before.
 
-    bool operator==(const SuspectNews&) const = default;
+    bool operator==(const SuspectUpdate&) const = default;
     bool empty() const { return reports.empty() && blocked.empty() && cleared.empty() && knownGood.empty(); }
 
     template <class Archive>
@@ -67,7 +67,7 @@
 };
 
 // Maximum entries of one message. They are the same for the message of a group as for that of one node, whatever the size of the fleet.
-struct SuspectNewsLimits {
+struct SuspectUpdateLimits {
     // 22 bytes each. The loss of a zone causes more reports than fit; reports of requests with the most ended incarnations are kept.
     std::size_t reports { 64 };
     // 19 bytes each; the newest are kept. The others are in the store, and known to the nodes that already received them.
@@ -76,9 +76,9 @@
     std::size_t knownGood { 32 }; // 12 bytes each.
 };
 
-// Appends the entries of `other` to `sum`. Duplicates remain until limitNews() is called.
-void addNews(SuspectNews& sum, const SuspectNews& other);
+// Appends the entries of `other` to `sum`. Duplicates remain until truncateUpdate() is called.
+void mergeUpdate(SuspectUpdate& sum, const SuspectUpdate& other);
 // Removes duplicates, and entries beyond the limits. The most important entries are kept.
-void limitNews(SuspectNews&, const SuspectNewsLimits& limits = {});
+void truncateUpdate(SuspectUpdate&, const SuspectUpdateLimits& limits = {});
 
 } // namespace Onyxnotch
--- a/modules/traffic/marked_list.cpp
+++ b/modules/traffic/draining_list.cpp
@@ -1,8 +1,8 @@
-#include "modules/traffic/marked_list.h"
+#include "modules/traffic/draining_list.h"
 
 namespace Onyxnotch {
 
-std::shared_ptr<const EndpointList> withLeaving(const std::shared_ptr<const EndpointList>& list, const std::vector<EndpointLife>& leaving)
+std::shared_ptr<const EndpointList> withDrainingEndpoints(const std::shared_ptr<const EndpointList>& list, const std::vector<EndpointIncarnation>& leaving)
 {
     if (!list)
         return list;
--- a/modules/traffic/marked_list.h
+++ b/modules/traffic/draining_list.h
@@ -8,6 +8,6 @@
 namespace Onyxnotch {
 
 // Returns a copy of the list in which the incarnations in `leaving` are marked as draining, or the same list if none needs the mark.
-std::shared_ptr<const EndpointList> withLeaving(const std::shared_ptr<const EndpointList>&, const std::vector<EndpointLife>& leaving);
+std::shared_ptr<const EndpointList> withDrainingEndpoints(const std::shared_ptr<const EndpointList>&, const std::vector<EndpointIncarnation>& leaving);
 
 } // namespace Onyxnotch
--- a/modules/traffic/endpoint_life.h
+++ b/modules/traffic/endpoint_incarnation.h
@@ -9,18 +9,18 @@
 
 namespace Onyxnotch {
 
-struct EndpointLife {
+struct EndpointIncarnation {
     std::string id {};
     // Start time in milliseconds since 1970, as the endpoint reports it; 0 if it does not, which counts as the oldest incarnation.
     std::uint64_t born { 0 };
 
-    auto operator<=>(const EndpointLife&) const = default;
+    auto operator<=>(const EndpointIncarnation&) const = default;
 
     template <class Archive>
     void serialize(Archive& archive) { archive(id, born); }
 };
 
 // Returns the same hash in every process of a fleet. An incarnation without a start time has the hash of its id alone.
-inline std::uint64_t hashOf(const EndpointLife& life) { return std::hash<std::string> {}(life.id) ^ life.born * 0x9e3779b97f4a7c15U; }
+inline std::uint64_t hashOf(const EndpointIncarnation& life) { return std::hash<std::string> {}(life.id) ^ life.born * 0x9e3779b97f4a7c15U; }
 
 } // namespace Onyxnotch
--- a/modules/traffic/endpoint_list.h
+++ b/modules/traffic/endpoint_list.h
@@ -3,7 +3,7 @@
 
 #include "core/clock.h"
 #include "core/net/address.h"
-#include "modules/traffic/endpoint_life.h"
+#include "modules/traffic/endpoint_incarnation.h"
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -15,7 +15,7 @@
 // One incarnation of an endpoint, as its entry in the store describes it.
 struct ListedEndpoint {
     std::string id {};
-    std::uint64_t born { 0 }; // Start time in milliseconds since 1970; see EndpointLife.
+    std::uint64_t born { 0 }; // Start time in milliseconds since 1970; see EndpointIncarnation.
     std::string service {};
     Address address {};
     std::string zone {};
@@ -27,7 +27,7 @@
     std::optional<Milliseconds> leavesIn {};
 
     bool operator==(const ListedEndpoint&) const = default;
-    EndpointLife life() const { return { .id = id, .born = born }; }
+    EndpointIncarnation life() const { return { .id = id, .born = born }; }
 };
 
 struct EndpointList {
--- a/modules/traffic/traffic_configuration.h
+++ b/modules/traffic/traffic_configuration.h
@@ -97,13 +97,13 @@
     bool operator==(const MoreUrgentRequests&) const = default;
 };
 
-struct CallerLimits {
+struct ClientLimits {
     std::size_t maximumHeadBytes { 16384 };
     std::size_t maximumBodyBytes { 4U << 20U };
     Milliseconds headTimeout { 3000 };
     Milliseconds idleTimeout { 15000 };
 
-    bool operator==(const CallerLimits&) const = default;
+    bool operator==(const ClientLimits&) const = default;
 };
 
 // The declared values, as the configuration source delivers them.
@@ -112,7 +112,7 @@
     std::vector<TrafficRoute> routes {};
     std::vector<TrafficService> services {};
     std::vector<TrafficTeam> teams {};
-    CallerLimits limits {};
+    ClientLimits limits {};
 
     bool operator==(const TrafficDeclaration&) const = default;
 };
--- a/servers/engine/engine_client.cpp
+++ b/servers/engine/engine_client.cpp
@@ -5,7 +5,7 @@
 #include "core/net/http_status.h"
 #include "core/net/retry_after.h"
 #include "core/net/server_sent_events.h"
-#include "servers/engine/named_limit.h"
+#include "servers/engine/advertised_limit.h"
 
 namespace Onyxnotch {
 
@@ -81,7 +81,7 @@
     });
     auto onHeaders = [&](const HttpReply& reply) {
         status = reply.status;
-        if (HttpStatus::turnsAway(status))
+        if (HttpStatus::isRefusalStatus(status))
             m_requestedBackoff = parseRetryAfter(reply.header("retry-after"));
         m_onHead(namedLimit(reply));
         return reply.ok();
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -33,7 +33,7 @@
     return *it;
 }
 
-std::optional<Member> MemberView::answeringNode(const std::string& node, std::uint64_t incarnation) const
+std::optional<Member> MemberView::responsibleNode(const std::string& node, std::uint64_t incarnation) const
 {
     static constexpr unsigned maximumSuccessions = 32;
     auto key = std::make_pair(node, incarnation);
--- a/servers/membership/membership_server.h
+++ b/servers/membership/membership_server.h
@@ -52,7 +52,7 @@
     std::optional<Member> find(const std::string& node) const;
     // Follows successions from a node incarnation to the node that is responsible for its requests now. Returns nothing if that node is
     // dead, restarted or unknown.
-    std::optional<Member> answeringNode(const std::string& node, std::uint64_t incarnation) const;
+    std::optional<Member> responsibleNode(const std::string& node, std::uint64_t incarnation) const;
 };
 
 class MembershipServer {
--- a/tests/core/net/test_http_server.cpp
+++ b/tests/core/net/test_http_server.cpp
@@ -23,7 +23,7 @@
     server.route("GET", "/large", [&](const HttpRequest&) {
         auto token = std::make_shared<int>(0);
         made.set_value(token);
-        return HttpResponse { .body = std::string(bodyBytes, 'x'), .untilWritten = token };
+        return HttpResponse { .body = std::string(bodyBytes, 'x'), .releasedWhenWritten = token };
     });
     BOOST_REQUIRE(server.start());
     asio::io_context context;
--- a/tests/core/test_clock.cpp
+++ b/tests/core/test_clock.cpp
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_CASE(a_lease_that_ran_out_meanwhile_is_not_held)
 {
-    LeaseMachine lease("a", { .duration = Milliseconds(3000) });
+    LeaseStateMachine lease("a", { .duration = Milliseconds(3000) });
     auto now = steadyNow();
     lease.observe(std::nullopt, 0, now, now);
     auto wanted = lease.next(now);
--- a/tests/core/test_deflate.cpp
+++ b/tests/core/test_deflate.cpp
@@ -11,25 +11,25 @@
 {
     constexpr std::size_t most = 1U << 20U;
     Tests::checkProperty("any bytes", [](const std::string& bytes) {
-        RC_ASSERT(inflated(deflated(bytes), most).value() == bytes);
+        RC_ASSERT(decompressText(compressText(bytes), most).value() == bytes);
     });
     std::string list;
     for (int n = 0; n < 1000; ++n)
         list += R"({"service":"s","address":"10.0.0.)" + std::to_string(n) + R"(:80","state":"ready"},)";
-    auto compressed = deflated(list);
+    auto compressed = compressText(list);
     BOOST_TEST(compressed.size() * 8 < list.size());
-    BOOST_TEST(inflated(compressed, most).value() == list);
+    BOOST_TEST(decompressText(compressed, most).value() == list);
 }
 
 BOOST_AUTO_TEST_CASE(other_bytes_and_longer_texts_are_refused)
 {
-    BOOST_TEST(!inflated("no such text", 1000));
-    BOOST_TEST(!inflated("", 1000));
-    auto compressed = deflated(std::string(100000, 'x'));
-    BOOST_TEST(!inflated(compressed, 1000));
-    BOOST_TEST(!inflated(compressed.substr(0, compressed.size() / 2), 1U << 20U));
+    BOOST_TEST(!decompressText("no such text", 1000));
+    BOOST_TEST(!decompressText("", 1000));
+    auto compressed = compressText(std::string(100000, 'x'));
+    BOOST_TEST(!decompressText(compressed, 1000));
+    BOOST_TEST(!decompressText(compressed.substr(0, compressed.size() / 2), 1U << 20U));
     Tests::checkProperty("any bytes end in an answer", [](const std::string& bytes) {
-        auto result = inflated(bytes, 100000);
+        auto result = decompressText(bytes, 100000);
         bool isBounded = !result || result.value().size() <= 100000U;
         RC_ASSERT(isBounded);
     });
--- a/tests/demo.cpp
+++ b/tests/demo.cpp
@@ -83,7 +83,7 @@
     {
         auto list = m_cluster.get(m_cluster.cloud(), "/v1/instances");
         for (const auto& instance : list["instances"]) {
-            auto* engine = m_cluster.engineOf(instance["id"]);
+            auto* engine = m_cluster.findEngine(instance["id"]);
             if (!engine || m_cluster.get(engine->address, "/control").value("running", 0) == 0)
                 continue;
             std::cout << "\n[reclaiming " << instance["id"].get<std::string>() << "]" << std::endl;
--- a/tests/entry/notice_site.h
+++ b/tests/entry/notice_site.h
@@ -7,7 +7,7 @@
 
 namespace Onyxnotch::Tests {
 
-using Ending = Fakes::ScriptedAnswer::Ending;
+using Ending = Fakes::ScriptedResponse::Ending;
 
 inline constexpr int endpointCount = 3;
 // Maximum time until all nodes of a connected fleet know what one of them has received.
@@ -21,12 +21,12 @@
 
 inline Fakes::ScriptedEndpoint::Script answerWith(const std::string& fields)
 {
-    return [fields](const Fakes::ReceivedRequest& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "hello", fields) }; };
+    return [fields](const Fakes::ReceivedRequest& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "hello", fields) }; };
 }
 
 inline Fakes::ScriptedEndpoint::Script refuseWith(const std::string& fields)
 {
-    return [fields](const Fakes::ReceivedRequest& it) { return Fakes::ScriptedAnswer { .bytes = refusalAnswer(it, fields) }; };
+    return [fields](const Fakes::ReceivedRequest& it) { return Fakes::ScriptedResponse { .bytes = refusalAnswer(it, fields) }; };
 }
 
 // An event stream that sends its head and one event, and then nothing more without ending.
@@ -34,7 +34,7 @@
 {
     return [fields](const Fakes::ReceivedRequest& it) {
         auto head = "HTTP/1.1 200 OK\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\n" + fields + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-        return Fakes::ScriptedAnswer { .bytes = head + "11\r\nid: 1\ndata: abc\n\n\r\n", .ending = Ending::Hang };
+        return Fakes::ScriptedResponse { .bytes = head + "11\r\nid: 1\ndata: abc\n\n\r\n", .ending = Ending::Hang };
     };
 }
 
@@ -53,7 +53,7 @@
 
     static std::string idOf(int n) { return "i-" + std::to_string(n); }
 
-    RawCaller::Answer sendRequest(std::size_t node = 0, const std::string& path = "/safe/a")
+    RawClient::Answer sendRequest(std::size_t node = 0, const std::string& path = "/safe/a")
     {
         return EntrySite::ask(nodes.at(node)->callers, request("GET", path, "id-" + std::to_string(++lastRequestNumber)));
     }
@@ -114,7 +114,7 @@
     }
 
     // Fills another store with the configuration, all endpoints as ready, and the first node only.
-    void copyStoreTo(Fakes::PlatformStandIn& store) const
+    void copyStoreTo(Fakes::FakePlatform& store) const
     {
         store.put("config", "main", EntrySite::declaration(1));
         for (int n = 0; n < endpointCount; ++n)
--- a/tests/entry/test_crashing_requests.cpp
+++ b/tests/entry/test_crashing_requests.cpp
@@ -14,7 +14,7 @@
 
 using namespace Onyxnotch;
 using namespace Onyxnotch::Tests;
-using Ending = Fakes::ScriptedAnswer::Ending;
+using Ending = Fakes::ScriptedResponse::Ending;
 
 namespace {
 
@@ -25,7 +25,7 @@
 constexpr unsigned maximumLateAttempts = 3; // Attempts that may still reach an endpoint afterwards, over all nodes.
 constexpr auto crashingBody = "a prompt that no engine survives";
 
-Fakes::ScriptedAnswer endpointAnswer(const Fakes::ReceivedRequest& it)
+Fakes::ScriptedResponse endpointAnswer(const Fakes::ReceivedRequest& it)
 {
     if (it.body == crashingBody)
         return { .ending = Ending::Crash };
@@ -67,7 +67,7 @@
         return count;
     }
 
-    RawCaller::Answer sendCrashingRequest(const EntryProcess& node, const std::string& path = "/safe/a")
+    RawClient::Answer sendCrashingRequest(const EntryProcess& node, const std::string& path = "/safe/a")
     {
         auto answer = EntrySite::ask(node.callers, request("POST", path, "id-" + std::to_string(++lastRequestNumber), "", crashingBody));
         removeCrashedEntries();
@@ -83,7 +83,7 @@
         }
     }
 
-    RawCaller::Answer sendOtherRequest(const EntryProcess& node)
+    RawClient::Answer sendOtherRequest(const EntryProcess& node)
     {
         auto id = "id-" + std::to_string(++lastRequestNumber);
         return EntrySite::ask(node.callers, request("POST", "/safe/a", id, "", "a body of its own: " + id));
--- a/tests/entry/test_endpoint_limits.cpp
+++ b/tests/entry/test_endpoint_limits.cpp
@@ -228,9 +228,9 @@
 
 BOOST_AUTO_TEST_CASE(the_limit_is_read_from_refusals_failures_and_unfinished_streams)
 {
-    auto refusing = [](const Fakes::ReceivedRequest& received) { return Fakes::ScriptedAnswer { .bytes = refusalAnswer(received, limitField("0")) }; };
+    auto refusing = [](const Fakes::ReceivedRequest& received) { return Fakes::ScriptedResponse { .bytes = refusalAnswer(received, limitField("0")) }; };
     auto failing = [](const Fakes::ReceivedRequest& received) {
-        return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(received.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\n" + limitField("0") + "Content-Length: 0\r\n\r\n" };
+        return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(received.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\n" + limitField("0") + "Content-Length: 0\r\n\r\n" };
     };
     for (const auto& script : { Fakes::ScriptedEndpoint::Script(refusing), Fakes::ScriptedEndpoint::Script(failing) }) {
         NoticeSite it;
@@ -243,7 +243,7 @@
     NoticeSite it;
     int chosen = it.preferredEndpoint();
     it.endpointServers[chosen]->setScript(hangingStreamWith(limitField("0")));
-    RawCaller streaming(it.nodes[0]->callers);
+    RawClient streaming(it.nodes[0]->callers);
     streaming.send(request("GET", "/stream/a", "id-stream"));
     BOOST_REQUIRE(streaming.readUntil("data: abc"));
     auto before = it.requestCount(chosen);
@@ -275,7 +275,7 @@
 {
     NoticeSite it;
     auto failing = [](const Fakes::ReceivedRequest& received) {
-        return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(received.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\nContent-Length: 0\r\n\r\n" };
+        return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(received.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\nContent-Length: 0\r\n\r\n" };
     };
     int chosen = it.letPreferredAnswer(answerWith(limitField("0")));
     for (int n = 0; n < endpointCount; ++n) {
--- a/tests/entry/test_endpoint_notices.cpp
+++ b/tests/entry/test_endpoint_notices.cpp
@@ -46,7 +46,7 @@
         checkNotUsed(it, it.letPreferredAnswer([status](const Fakes::ReceivedRequest& received) {
             auto refusal = refusalAnswer(received, drainingField);
             auto failure = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(received.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-1\r\n" + drainingField + "Content-Length: 0\r\n\r\n";
-            return Fakes::ScriptedAnswer { .bytes = status == 500 ? failure : refusal };
+            return Fakes::ScriptedResponse { .bytes = status == 500 ? failure : refusal };
         }));
     }
 }
@@ -58,9 +58,9 @@
     int chosen = it.preferredEndpoint();
     for (int n = 0; n < endpointCount; ++n)
         it.endpointServers[n]->setScript(hangingStreamWith(n == chosen ? drainingField : ""));
-    std::vector<std::unique_ptr<RawCaller>> streaming;
+    std::vector<std::unique_ptr<RawClient>> streaming;
     for (int n = 0; n < endpointCount; ++n) {
-        streaming.push_back(std::make_unique<RawCaller>(it.nodes[0]->callers));
+        streaming.push_back(std::make_unique<RawClient>(it.nodes[0]->callers));
         streaming.back()->send(request("GET", "/stream/a", "id-stream" + std::to_string(n)));
         BOOST_REQUIRE(streaming.back()->readUntil("data: abc"));
     }
@@ -74,7 +74,7 @@
 {
     NoticeSite it;
     int chosen = it.letPreferredAnswer([](const Fakes::ReceivedRequest& received) {
-        return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Stamp: stamp-1\r\n" + std::string(drainingField) + "Content-Length: 0\r\n\r\n" + answerTo(received, "hello") };
+        return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nServer-Stamp: stamp-1\r\n" + std::string(drainingField) + "Content-Length: 0\r\n\r\n" + answerTo(received, "hello") };
     });
     checkNotUsed(it, chosen);
 }
@@ -119,7 +119,7 @@
 {
     for (std::size_t receivingNode : { 0U, 1U }) {
         NoticeSite it;
-        Fakes::PlatformStandIn store;
+        Fakes::FakePlatform store;
         it.copyStoreTo(store);
         it.nodes.push_back(&it.site.startNode("node-2", { { "store", store.address().text() } }));
         BOOST_REQUIRE(EntrySite::waitReady(*it.nodes[1]));
@@ -153,7 +153,7 @@
     int chosen = it.letPreferredAnswer(answerWith(drainingField));
     waitUntil([&] { return steadyNow() - sentAt >= startDelay; }, startDelay * 2);
     // The new node uses a separate store, which does not contain the draining state.
-    Fakes::PlatformStandIn store;
+    Fakes::FakePlatform store;
     it.copyStoreTo(store);
     it.nodes.push_back(&it.site.startNode("node-3", { { "store", store.address().text() } }));
     BOOST_REQUIRE(EntrySite::waitReady(*it.nodes[2]));
@@ -229,7 +229,7 @@
 BOOST_AUTO_TEST_CASE(the_backoff_applies_without_the_not_executed_field)
 {
     NoticeSite it;
-    int chosen = it.letPreferredAnswer([](const Fakes::ReceivedRequest& received) { return Fakes::ScriptedAnswer { .bytes = refusalAnswer(received, "Retry-After: 2\r\n", false) }; });
+    int chosen = it.letPreferredAnswer([](const Fakes::ReceivedRequest& received) { return Fakes::ScriptedResponse { .bytes = refusalAnswer(received, "Retry-After: 2\r\n", false) }; });
     auto before = it.requestCount(chosen);
     BOOST_TEST(countBadAnswers(it, Milliseconds(1000)) == 0);
     BOOST_TEST(it.requestCount(chosen) == before);
--- a/tests/entry/test_forwarding.cpp
+++ b/tests/entry/test_forwarding.cpp
@@ -7,7 +7,7 @@
 
 using namespace Onyxnotch;
 using namespace Onyxnotch::Tests;
-using Ending = Fakes::ScriptedAnswer::Ending;
+using Ending = Fakes::ScriptedResponse::Ending;
 
 namespace {
 
@@ -27,14 +27,14 @@
         return started;
     }
 
-    RawCaller::Answer sendRequest(const std::string& bytes) { return EntrySite::ask(node.callers, bytes); }
+    RawClient::Answer sendRequest(const std::string& bytes) { return EntrySite::ask(node.callers, bytes); }
 
     EntrySite site;
     Fakes::ScriptedEndpoint& endpoint;
     EntryProcess& node;
 };
 
-Fakes::ScriptedAnswer plainAnswer(const Fakes::ReceivedRequest& it) { return { .bytes = answerTo(it, "hello") }; }
+Fakes::ScriptedResponse plainAnswer(const Fakes::ReceivedRequest& it) { return { .bytes = answerTo(it, "hello") }; }
 
 std::string streamHead(const Fakes::ReceivedRequest& it)
 {
@@ -135,10 +135,10 @@
 {
     EntrySite site;
     site.declare(EntrySite::declaration(3));
-    site.addEndpoint("i-1", [](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "hello") }; });
+    site.addEndpoint("i-1", [](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "hello") }; });
     site.platform().setHeld(true);
     auto& node = site.startNode("node-1", { { "startWaitMs", 20000 } });
-    RawCaller caller(node.callers);
+    RawClient caller(node.callers);
     caller.send(request("GET", "/safe/a", "id-1"));
     BOOST_TEST(EntrySite::ask(node.readiness, "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n").head.status == HttpStatus::serviceUnavailable);
     site.platform().setHeld(false);
@@ -149,9 +149,9 @@
 {
     SingleNodeSite one(plainAnswer);
     auto head = [](const auto& it) { return "HTTP/1.1 200 OK\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nServer-Stamp: s\r\n"; };
-    one.endpoint.setScript([&](const auto& it) { return Fakes::ScriptedAnswer { .bytes = head(it) + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" }; });
+    one.endpoint.setScript([&](const auto& it) { return Fakes::ScriptedResponse { .bytes = head(it) + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" }; });
     BOOST_TEST(one.sendRequest(request("GET", "/safe/a", "id-1")).body == "abc");
-    one.endpoint.setScript([&](const auto& it) { return Fakes::ScriptedAnswer { .bytes = head(it) + "\r\nuntil the end", .ending = Ending::Close }; });
+    one.endpoint.setScript([&](const auto& it) { return Fakes::ScriptedResponse { .bytes = head(it) + "\r\nuntil the end", .ending = Ending::Close }; });
     auto answer = one.sendRequest(request("GET", "/safe/a", "id-2"));
     BOOST_TEST(answer.body == "until the end");
     BOOST_TEST(answer.whole);
@@ -162,7 +162,7 @@
     for (auto ending : { Ending::Close, Ending::Reset }) {
         SingleNodeSite one([&](const auto& it) {
             auto bytes = answerTo(it, "hello");
-            return Fakes::ScriptedAnswer { .bytes = bytes.substr(0, bytes.size() - 2), .ending = ending };
+            return Fakes::ScriptedResponse { .bytes = bytes.substr(0, bytes.size() - 2), .ending = ending };
         });
         BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-1", "", "x")).head.status == HttpStatus::badGateway);
         BOOST_TEST(one.endpoint.requests().size() == 1U);
@@ -171,35 +171,35 @@
 
 BOOST_AUTO_TEST_CASE(a_success_without_a_stamp_or_with_an_encoding_is_a_bad_gateway)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 200 OK\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nContent-Length: 2\r\n\r\nab" }; });
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 200 OK\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nContent-Length: 2\r\n\r\nab" }; });
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-1", "", "x")).head.status == HttpStatus::badGateway);
-    one.endpoint.setScript([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "ab", "Content-Encoding: gzip\r\n") }; });
+    one.endpoint.setScript([](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "ab", "Content-Encoding: gzip\r\n") }; });
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-2", "", "x")).head.status == HttpStatus::badGateway);
 }
 
 BOOST_AUTO_TEST_CASE(an_unmatched_answer_is_discarded)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "first") }; });
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "first") }; });
     BOOST_TEST(one.sendRequest(request("GET", "/safe/a", "id-1")).body == "first");
     one.endpoint.setScript([](const auto& it) {
         auto late = Fakes::ReceivedRequest {};
         late.head.fields.push_back({ .name = "Attempt-Id", .value = "id-1" });
-        return Fakes::ScriptedAnswer { .bytes = answerTo(late, "late") + answerTo(it, "second") + answerTo(late, "later still") };
+        return Fakes::ScriptedResponse { .bytes = answerTo(late, "late") + answerTo(it, "second") + answerTo(late, "later still") };
     });
     BOOST_TEST(one.sendRequest(request("GET", "/safe/a", "id-2")).body == "second");
-    one.endpoint.setScript([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "third") }; });
+    one.endpoint.setScript([](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "third") }; });
     BOOST_TEST(one.sendRequest(request("GET", "/safe/a", "id-3")).body == "third");
 }
 
 BOOST_AUTO_TEST_CASE(only_a_refusal_with_not_executed_gets_service_unavailable)
 {
-    SingleNodeSite one([](const auto&) { return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n" }; });
+    SingleNodeSite one([](const auto&) { return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n" }; });
     auto refused = one.sendRequest(request("POST", "/once/a", "id-1", "", "x"));
     BOOST_TEST(refused.head.status == HttpStatus::serviceUnavailable);
     BOOST_TEST(refused.head.find("retry-after"));
-    one.endpoint.setScript([](const auto&) { return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n" }; });
+    one.endpoint.setScript([](const auto&) { return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n" }; });
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-2", "", "x")).head.status == HttpStatus::badGateway);
-    one.endpoint.setScript([](const auto&) { return Fakes::ScriptedAnswer { .ending = Ending::Hang }; });
+    one.endpoint.setScript([](const auto&) { return Fakes::ScriptedResponse { .ending = Ending::Hang }; });
     auto began = steadyNow();
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-3", "", "x")).head.status == HttpStatus::gatewayTimeout);
     auto waited = toMilliseconds(steadyNow() - began);
@@ -209,8 +209,8 @@
 
 BOOST_AUTO_TEST_CASE(an_idempotent_request_is_retried_at_another_endpoint)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "x").substr(0, 20), .ending = Ending::Close }; });
-    one.site.addEndpoint("i-2", [](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "from the other") }; });
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "x").substr(0, 20), .ending = Ending::Close }; });
+    one.site.addEndpoint("i-2", [](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "from the other") }; });
     BOOST_REQUIRE(one.node.process->waitLine([](const auto& it) { return it.find("\"endpoint\":\"i-2\"") != std::string::npos; }, Milliseconds(10000)));
     // Whichever endpoint is tried first, the client gets the complete answer of the second one.
     for (int n = 0; n < 6; ++n)
@@ -228,7 +228,7 @@
 
 BOOST_AUTO_TEST_CASE(an_early_answer_ends_the_transfer_of_the_body)
 {
-    SingleNodeSite one([](const auto&) { return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", .ending = Ending::Hang, .beforeBody = true }; });
+    SingleNodeSite one([](const auto&) { return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", .ending = Ending::Hang, .beforeBody = true }; });
     auto roomy = EntrySite::declaration(2);
     roomy["limits"]["maxBodyBytes"] = 64000000;
     one.site.declare(roomy);
@@ -243,8 +243,8 @@
 
 BOOST_AUTO_TEST_CASE(a_disconnected_client_frees_its_endpoint)
 {
-    SingleNodeSite one([](const auto&) { return Fakes::ScriptedAnswer { .ending = Ending::Hang }; });
-    RawCaller caller(one.node.callers);
+    SingleNodeSite one([](const auto&) { return Fakes::ScriptedResponse { .ending = Ending::Hang }; });
+    RawClient caller(one.node.callers);
     caller.send(request("GET", "/safe/a", "id-1"));
     BOOST_REQUIRE(waitUntil([&] { return one.endpoint.requests().size() == 1; }));
     auto closedAt = steadyNow();
@@ -255,21 +255,21 @@
 
 BOOST_AUTO_TEST_CASE(events_are_forwarded_as_they_arrive)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(1, 2), .ending = Ending::Hang }; });
-    RawCaller caller(one.node.callers);
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(1, 2), .ending = Ending::Hang }; });
+    RawClient caller(one.node.callers);
     caller.send(request("POST", "/stream/a", "id-1", "", "x"));
     BOOST_TEST(caller.readUntil("id: 2\ndata: x\n\n"));
 }
 
 BOOST_AUTO_TEST_CASE(a_broken_stream_does_not_look_complete)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(1, 2), .ending = Ending::Close }; });
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(1, 2), .ending = Ending::Close }; });
     auto answer = one.sendRequest(request("POST", "/stream/a", "id-1", "", "x"));
     BOOST_TEST(!answer.whole);
     BOOST_TEST(one.endpoint.requests().size() == 1U);
     // After events 1 and 2, event 4 leaves a gap, and event 2 is a duplicate.
     for (auto second : { 4, 2 }) {
-        one.endpoint.setScript([second](const auto& it) { return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(1, 2) + eventChunk(second) + "0\r\n\r\n" }; });
+        one.endpoint.setScript([second](const auto& it) { return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(1, 2) + eventChunk(second) + "0\r\n\r\n" }; });
         auto wrong = one.sendRequest(request("POST", "/stream/a", "id-" + std::to_string(second), "", "x"));
         BOOST_TEST((!wrong.whole || wrong.head.status == HttpStatus::badGateway));
     }
@@ -277,13 +277,13 @@
 
 BOOST_AUTO_TEST_CASE(a_resumable_stream_continues_at_another_endpoint_with_its_first_head)
 {
-    SingleNodeSite one([](const auto&) { return Fakes::ScriptedAnswer {}; });
+    SingleNodeSite one([](const auto&) { return Fakes::ScriptedResponse {}; });
     // Each endpoint resets a new stream after event 3, and completes a resumed one.
     auto script = [](const Fakes::ReceivedRequest& it) {
         auto last = std::string(it.head.value("last-event-id"));
         if (last.empty())
-            return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(1, 3), .ending = Ending::Reset };
-        return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(std::stoi(last) + 1, 6) + "0\r\n\r\n" };
+            return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(1, 3), .ending = Ending::Reset };
+        return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(std::stoi(last) + 1, 6) + "0\r\n\r\n" };
     };
     one.endpoint.setScript(script);
     auto& other = one.site.addEndpoint("i-2", script);
@@ -312,7 +312,7 @@
 
 BOOST_AUTO_TEST_CASE(a_misdirected_request_gets_service_unavailable)
 {
-    SingleNodeSite one([](const auto&) { return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-9\r\nContent-Length: 0\r\n\r\n" }; });
+    SingleNodeSite one([](const auto&) { return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-9\r\nContent-Length: 0\r\n\r\n" }; });
     auto answer = one.sendRequest(request("POST", "/once/a", "id-1", "", "x"));
     BOOST_TEST(answer.head.status == HttpStatus::serviceUnavailable);
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-2", "", "x")).head.status == HttpStatus::serviceUnavailable);
@@ -330,7 +330,7 @@
     one.site.declare(limited);
     BOOST_REQUIRE(one.node.process->waitLine([](const auto& it) { return it.find("\"configuration_in_force\"") != std::string::npos && it.find("\"version\":2") != std::string::npos; }, Milliseconds(5000)));
     one.endpoint.setScript([](const auto& it) {
-        return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 503 Busy\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n" };
+        return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 503 Busy\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n" };
     });
     // The first request is forwarded and refused. If its 6,000 tokens were charged, the team would be over its rate of 100 per second for a
     // minute.
@@ -346,15 +346,15 @@
     constexpr auto serviceTime = std::chrono::milliseconds(700); // With eight slots and an objective of 200 ms, three requests may wait.
     SingleNodeSite one([&](const auto& it) {
         if (it.head.value("attempt-id") != "first")
-            return Fakes::ScriptedAnswer { .ending = Fakes::ScriptedAnswer::Ending::Hang };
+            return Fakes::ScriptedResponse { .ending = Fakes::ScriptedResponse::Ending::Hang };
         std::this_thread::sleep_for(serviceTime);
-        return Fakes::ScriptedAnswer { .bytes = answerTo(it, "hello") };
+        return Fakes::ScriptedResponse { .bytes = answerTo(it, "hello") };
     });
     BOOST_TEST(one.sendRequest(request("GET", "/safe/a", "first")).head.status == HttpStatus::ok);
     constexpr int clientCount = 24;
-    std::vector<std::unique_ptr<RawCaller>> callers;
+    std::vector<std::unique_ptr<RawClient>> callers;
     for (int n = 0; n < clientCount; ++n) {
-        callers.push_back(std::make_unique<RawCaller>(one.node.callers));
+        callers.push_back(std::make_unique<RawClient>(one.node.callers));
         callers.back()->send(request("GET", "/safe/a", "id-" + std::to_string(n)));
     }
     std::set<std::string> refused;
@@ -375,7 +375,7 @@
 BOOST_AUTO_TEST_CASE(a_refusal_without_not_executed_is_a_bad_gateway)
 {
     SingleNodeSite one([](const auto& it) {
-        return Fakes::ScriptedAnswer { .bytes = "HTTP/1.1 503 Busy\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n" };
+        return Fakes::ScriptedResponse { .bytes = "HTTP/1.1 503 Busy\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n" };
     });
     BOOST_TEST(one.sendRequest(request("POST", "/once/a", "id-1", "", "x")).head.status == HttpStatus::badGateway);
 }
@@ -391,7 +391,7 @@
     auto& node = site.startNode("node-1", { { "limits", { { "memoryMegabytes", 32 } } } });
     BOOST_REQUIRE(EntrySite::waitReady(node));
     std::string part(5000000, 'x');
-    RawCaller first(node.callers);
+    RawClient first(node.callers);
     first.send(request("POST", "/once/a", "id-1", "Content-Length: 6000000\r\n") + part);
     BOOST_REQUIRE(waitUntil([&] { return EntrySite::ask(node.control, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").body.find("onyxnotch_entry_held_bytes 5000000") != std::string::npos; }));
     auto sendSecondBody = [&] { return EntrySite::ask(node.callers, request("POST", "/once/a", "id-2", "Content-Length: 5000000\r\n") + part); };
@@ -404,8 +404,8 @@
 
 BOOST_AUTO_TEST_CASE(a_drain_cuts_no_running_request)
 {
-    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedAnswer { .bytes = streamHead(it) + events(1, 1), .ending = Ending::Hang }; });
-    RawCaller waiting(one.node.callers);
+    SingleNodeSite one([](const auto& it) { return Fakes::ScriptedResponse { .bytes = streamHead(it) + events(1, 1), .ending = Ending::Hang }; });
+    RawClient waiting(one.node.callers);
     waiting.send(request("POST", "/stream/a", "id-1", "Deadline-Ms: 1500\r\n", "x"));
     BOOST_REQUIRE(waiting.readUntil("id: 1"));
     one.endpoint.setScript(plainAnswer);
@@ -477,7 +477,7 @@
 BOOST_AUTO_TEST_CASE(a_node_whose_store_has_no_configuration_gets_it_from_peers)
 {
     SingleNodeSite one(plainAnswer);
-    Fakes::PlatformStandIn secondStore;
+    Fakes::FakePlatform secondStore;
     secondStore.put("servers", "i-1", EntrySite::entryOf(one.endpoint.address(), "ready"));
     // The second node's store has no configuration.
     auto& second = one.site.startNode("node-2", { { "store", secondStore.address().text() }, { "gossipPort", 0 }, { "seeds", Json::array() } });
@@ -492,7 +492,7 @@
 BOOST_AUTO_TEST_CASE(a_node_that_never_reached_the_store_gets_endpoints_from_peers)
 {
     SingleNodeSite one(plainAnswer);
-    Fakes::PlatformStandIn secondStore;
+    Fakes::FakePlatform secondStore;
     secondStore.setDown(true);
     auto& second = one.site.startNode("node-2", { { "store", secondStore.address().text() } });
     // The first node knows no peers yet, and finds the address of the second one in its own store.
@@ -535,7 +535,7 @@
     // With a grace time of 1 s the node cuts an unfinished request well before the 6 s that it started with.
     site.writeSettings("node-1", { { "graceSeconds", 1 } });
     BOOST_TEST(node.process->waitEvent("settings_applied", Milliseconds(12000)).has_value());
-    RawCaller waiting(node.callers);
+    RawClient waiting(node.callers);
     waiting.send("GET /safe/");
     auto before = steadyNow();
     node.process->signal(SIGTERM);
--- a/tests/entry/test_recovery.cpp
+++ b/tests/entry/test_recovery.cpp
@@ -27,7 +27,7 @@
 {
     EntrySite site;
     site.declare(EntrySite::declaration(3));
-    site.addEndpoint("i-1", [](const auto& it) { return Fakes::ScriptedAnswer { .bytes = answerTo(it, "hello") }; });
+    site.addEndpoint("i-1", [](const auto& it) { return Fakes::ScriptedResponse { .bytes = answerTo(it, "hello") }; });
     std::vector<EntryProcess*> running;
     running.reserve(nodeCount);
     for (int n = 0; n < nodeCount; ++n)
--- a/tests/entry/test_rollouts.cpp
+++ b/tests/entry/test_rollouts.cpp
@@ -12,13 +12,13 @@
 // Duration of a request at an endpoint, so that clients that send without a pause do not use up the processor.
 void simulateWork() { std::this_thread::sleep_for(std::chrono::milliseconds(5)); }
 
-Fakes::ScriptedAnswer goodAnswer(const Fakes::ReceivedRequest& it)
+Fakes::ScriptedResponse goodAnswer(const Fakes::ReceivedRequest& it)
 {
     simulateWork();
     return { .bytes = answerTo(it, "hello") };
 }
 
-Fakes::ScriptedAnswer badAnswer(const Fakes::ReceivedRequest& it)
+Fakes::ScriptedResponse badAnswer(const Fakes::ReceivedRequest& it)
 {
     simulateWork();
     return { .bytes = "HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: " + std::string(it.head.value("attempt-id")) + "\r\nServer-Stamp: stamp-2\r\nContent-Length: 0\r\n\r\n" };
--- a/tests/fakes/platform_stand_in.h
+++ b/tests/fakes/fake_platform.h
@@ -19,11 +19,11 @@
     nlohmann::json body {};
 };
 
-class PlatformStandIn {
+class FakePlatform {
 public:
     using Json = nlohmann::json;
 
-    PlatformStandIn()
+    FakePlatform()
         : m_server({ .threads = 64 })
     {
         m_server.route("GET", "/objects/([^/]+)", [this](const HttpRequest& it) { return guarded([&] { return it.queryValue("watch").empty() ? list(it) : watch(it); }); });
@@ -35,7 +35,7 @@
         (void)m_server.start();
     }
 
-    ~PlatformStandIn()
+    ~FakePlatform()
     {
         setDown(true);
         m_server.stop();
--- a/tests/fakes/scripted_endpoint.h
+++ b/tests/fakes/scripted_endpoint.h
@@ -14,7 +14,7 @@
 namespace Onyxnotch::Fakes {
 
 // What an endpoint does with one request: pieces of bytes, then what becomes of the connection.
-struct ScriptedAnswer {
+struct ScriptedResponse {
     enum class Ending {
         Keep,
         Close,
@@ -37,7 +37,7 @@
 
 class ScriptedEndpoint {
 public:
-    using Script = std::function<ScriptedAnswer(const ReceivedRequest&)>;
+    using Script = std::function<ScriptedResponse(const ReceivedRequest&)>;
 
     explicit ScriptedEndpoint(Script script)
         : m_script(std::move(script))
@@ -115,7 +115,7 @@
     {
         std::string input;
         while (auto request = read(socket, input)) {
-            ScriptedAnswer answer;
+            ScriptedResponse answer;
             {
                 std::lock_guard lock(m_mutex);
                 m_requests.push_back(*request);
@@ -123,17 +123,17 @@
             }
             asio::error_code ec;
             asio::write(socket, asio::buffer(answer.bytes), ec);
-            if (ec || answer.ending == ScriptedAnswer::Ending::Close)
+            if (ec || answer.ending == ScriptedResponse::Ending::Close)
                 break;
-            if (answer.ending == ScriptedAnswer::Ending::Reset) {
+            if (answer.ending == ScriptedResponse::Ending::Reset) {
                 socket.set_option(asio::socket_base::linger(true, 0), ec);
                 break;
             }
-            if (answer.ending == ScriptedAnswer::Ending::Hang) {
+            if (answer.ending == ScriptedResponse::Ending::Hang) {
                 waitForPeer(socket);
                 break;
             }
-            if (answer.ending == ScriptedAnswer::Ending::Crash) {
+            if (answer.ending == ScriptedResponse::Ending::Crash) {
                 stop();
                 break;
             }
--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -4,9 +4,9 @@
 #include "core/net/frame.h"
 #include "core/utf8.h"
 #include "modules/control/endpoint_history.h"
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 #include "modules/peers/limit_messages.h"
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include "platform/decoders.h"
 #include "platform/store_pages.h"
 #include <cstdlib>
@@ -58,7 +58,7 @@
 {
     (void)Platform::decodeListPage(bytes);
     (void)Platform::decodeChanges(bytes);
-    auto document = nlohmann::json::parse(readableText(bytes), nullptr, false);
+    auto document = nlohmann::json::parse(sanitizeUtf8(bytes), nullptr, false);
     if (document.is_discarded())
         return;
     (void)Platform::decodeEndpoint("i", document);
@@ -69,48 +69,48 @@
 }
 
 // Whatever a peer says, the book stays within its bounds.
-void checkSuspects(const SuspectNews& news)
+void checkSuspects(const SuspectUpdate& news)
 {
     constexpr std::size_t most = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    SuspectBook book({ .mostSuspects = most, .mostBlocked = most });
-    book.onNews(news, now);
+    SuspectTracker book({ .mostSuspects = most, .mostBlocked = most });
+    book.onPeerUpdate(news, now);
     require(book.blockedRequests() <= most);
     (void)book.news(now);
-    book.forgetOld(now + std::chrono::hours(48));
+    book.purgeExpired(now + std::chrono::hours(48));
 }
 
-void checkLimits(const LimitNews& news)
+void checkLimits(const LimitUpdate& news)
 {
     constexpr std::size_t most = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    EndpointLimits limits({ .words = { .most = most }, .wordsTold = most }, 1);
-    limits.onNews(news, 1000000, now);
-    require(limits.limited() <= most && limits.takeWordsTold().size() <= most);
+    EndpointLimits limits({ .words = { .most = most }, .limitsPerMessage = most }, 1);
+    limits.onPeerUpdate(news, 1000000, now);
+    require(limits.limited() <= most && limits.limitsToSend().size() <= most);
     for (const auto& it : news.words) {
         (void)limits.take(it.endpoint, 1, now);
         require(limits.creditAt(it.endpoint, now) - now <= std::chrono::hours(1));
     }
-    limits.forgetOld(
+    limits.purgeExpired(
         0, [](const auto&) { return false; }, now);
 }
 
 void checkMessages(const std::string& bytes)
 {
-    for (auto type : { MessageType::PeerRow, MessageType::ZoneSum, MessageType::PrefillNotice, MessageType::UsageNotice, MessageType::SuspectNotice, MessageType::LimitNews, MessageType::CreditAsk, MessageType::CreditAnswer, MessageType::CreditReturn }) {
+    for (auto type : { MessageType::PeerRow, MessageType::ZoneAggregate, MessageType::PrefillNotice, MessageType::UsageNotice, MessageType::SuspectNotice, MessageType::LimitUpdate, MessageType::CreditRequest, MessageType::CreditAnswer, MessageType::CreditReturn }) {
         Frame frame { .type = type, .payload = bytes };
-        if (auto sum = unpackMessage<GroupSum>(type, frame))
+        if (auto sum = unpackMessage<GroupAggregate>(type, frame))
             (void)sum.value().isSound();
         (void)unpackMessage<PeerMessage>(type, frame);
         (void)unpackMessage<PrefillNotice>(type, frame);
         (void)unpackMessage<UsageNotice>(type, frame);
-        if (auto news = unpackMessage<LimitNews>(type, frame))
+        if (auto news = unpackMessage<LimitUpdate>(type, frame))
             checkLimits(news.value());
-        if (auto ask = unpackMessage<CreditAsk>(type, frame))
+        if (auto ask = unpackMessage<CreditRequest>(type, frame))
             (void)ask.value().isSound();
         (void)unpackMessage<CreditAnswer>(type, frame);
         (void)unpackMessage<CreditReturn>(type, frame);
-        if (auto news = unpackMessage<SuspectNews>(type, frame))
+        if (auto news = unpackMessage<SuspectUpdate>(type, frame))
             checkSuspects(news.value());
     }
     (void)decodeFrame(bytes);
@@ -126,7 +126,7 @@
     checkList(bytes);
     checkDocuments(bytes);
     checkMessages(bytes);
-    auto text = inflated(bytes, mostInflated);
+    auto text = decompressText(bytes, mostInflated);
     require(!text || text.value().size() <= mostInflated);
     return 0;
 }
--- a/tests/harness/cluster.cpp
+++ b/tests/harness/cluster.cpp
@@ -172,10 +172,10 @@
     auto applied = apply(declaration(replicas));
     if (applied.exitCode != 0)
         std::cerr << "apply: exit code " << applied.exitCode << ": " << applied.output << std::endl;
-    return applied.exitCode == 0 && waitEndpoints(replicas);
+    return applied.exitCode == 0 && waitForEndpoints(replicas);
 }
 
-bool Cluster::waitEndpoints(unsigned count)
+bool Cluster::waitForEndpoints(unsigned count)
 {
     return waitUntil([&] {
         for (const auto& it : m_gateways) {
@@ -248,14 +248,14 @@
     post(m_proxy, "/forwards/" + std::to_string(forward.id), fault);
 }
 
-void Cluster::cutOff(const GatewayProcess& gateway, bool cut) const
+void Cluster::setPartitioned(const GatewayProcess& gateway, bool cut) const
 {
     setFault(gateway.httpForward, { { "refuse", cut } });
     setFault(gateway.peerForward, { { "refuse", cut } });
     setFault(gateway.gossipForward, { { "drop_up", cut } });
 }
 
-EngineProcess* Cluster::engineOf(const std::string& endpoint)
+EngineProcess* Cluster::findEngine(const std::string& endpoint)
 {
     auto list = get(m_cloud, "/v1/instances");
     for (const auto& instance : list.value("instances", Json::array())) {
@@ -277,7 +277,7 @@
     return path;
 }
 
-long Cluster::runsOf(const std::string& requestId) const
+long Cluster::executionCount(const std::string& requestId) const
 {
     auto runs = serviceRuns();
     auto it = runs.find(requestId);
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -71,7 +71,7 @@
     RunResult apply(const Json& declaration);
     // Applies the usual declaration, and waits until every gateway knows `replicas` loaded endpoints.
     bool deploy(unsigned replicas);
-    bool waitEndpoints(unsigned count);
+    bool waitForEndpoints(unsigned count);
 
     Client client(const std::string& key = teamKey) const;
     Json status(const GatewayProcess&) const;
@@ -85,14 +85,14 @@
     // Members that are not named go back to no fault; the target stays.
     void setFault(const Forward&, const Json& fault) const;
     // Cuts a gateway off from everyone but those that talk to its own ports, or heals it.
-    void cutOff(const GatewayProcess&, bool cut) const;
+    void setPartitioned(const GatewayProcess&, bool cut) const;
     Forward addForward(const std::string& kind, const Address& target = {}) const;
 
     GatewayProcess& gateway(std::size_t n) { return *m_gateways.at(n); }
     std::vector<std::unique_ptr<GatewayProcess>>& gateways() { return m_gateways; }
     std::vector<EngineProcess>& engines() { return m_engines; }
     // The engine behind a cloud instance id.
-    EngineProcess* engineOf(const std::string& endpoint);
+    EngineProcess* findEngine(const std::string& endpoint);
     std::vector<std::unique_ptr<Process>>& controllers() { return m_controllers; }
     Process& plainService() { return *m_plainService; }
     const Address& objects() const { return m_objects; }
@@ -102,7 +102,7 @@
     std::string writeFile(const std::string& name, const std::string& text) const;
     std::map<std::string, long> serviceRuns() const;
     // How often the plain service ran a request.
-    long runsOf(const std::string& requestId) const;
+    long executionCount(const std::string& requestId) const;
 
 private:
     void startPlatform();
--- a/tests/harness/entry_site.h
+++ b/tests/harness/entry_site.h
@@ -1,8 +1,8 @@
 // Real entry processes before stand-ins of the platform and of endpoints.
 #pragma once
 
+#include "tests/fakes/fake_platform.h"
 #include "tests/fakes/own_loopback.h"
-#include "tests/fakes/platform_stand_in.h"
 #include "tests/fakes/scripted_endpoint.h"
 #include "tests/harness/process.h"
 #include <filesystem>
@@ -21,9 +21,9 @@
 };
 
 // A caller's connection, byte by byte.
-class RawCaller {
+class RawClient {
 public:
-    explicit RawCaller(const Address& address)
+    explicit RawClient(const Address& address)
         : m_socket(m_context)
     {
         m_socket.connect({ asio::ip::make_address(address.host), address.port });
@@ -91,7 +91,7 @@
         std::filesystem::remove_all(m_folder);
     }
 
-    Fakes::PlatformStandIn& platform() { return m_platform; }
+    Fakes::FakePlatform& platform() { return m_platform; }
 
     // Routes: /once/ at most once, /safe/ idempotent with two tries, /stream/ and /resume/ streams; /public/ without a key.
     static Json declaration(std::uint64_t version)
@@ -161,9 +161,9 @@
     }
 
     // Sends one request on a connection of its own.
-    static RawCaller::Answer ask(const Address& address, const std::string& bytes)
+    static RawClient::Answer ask(const Address& address, const std::string& bytes)
     {
-        RawCaller caller(address);
+        RawClient caller(address);
         caller.send(bytes);
         return caller.read();
     }
@@ -172,7 +172,7 @@
     static inline int siteNumber = 0;
 
     std::filesystem::path m_folder;
-    Fakes::PlatformStandIn m_platform {};
+    Fakes::FakePlatform m_platform {};
     std::vector<std::unique_ptr<Fakes::ScriptedEndpoint>> m_endpoints {};
     std::vector<std::unique_ptr<EntryProcess>> m_nodes {};
 };
--- a/tests/modules/balance/test_endpoint_rests.cpp
+++ b/tests/modules/balance/test_endpoint_backoffs.cpp
@@ -1,4 +1,4 @@
-#include "modules/balance/endpoint_rests.h"
+#include "modules/balance/endpoint_backoffs.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,7 +7,7 @@
 namespace {
 
 const SteadyTime start { std::chrono::hours(1) };
-const EndpointLife endpoint { .id = "one", .born = 1 };
+const EndpointIncarnation endpoint { .id = "one", .born = 1 };
 
 } // namespace
 
@@ -15,21 +15,21 @@
 
 BOOST_AUTO_TEST_CASE(the_latest_end_of_a_backoff_applies)
 {
-    EndpointRests rests;
+    EndpointBackoffs rests;
     rests.ask(endpoint, Milliseconds(3000), start);
     rests.ask(endpoint, Milliseconds(500), start + Milliseconds(100));
     rests.ask(endpoint, Milliseconds(0), start + Milliseconds(200));
-    BOOST_TEST(rests.isResting(endpoint, start + Milliseconds(2999)));
-    BOOST_TEST(!rests.isResting(endpoint, start + Milliseconds(3000)));
+    BOOST_TEST(rests.isInBackoff(endpoint, start + Milliseconds(2999)));
+    BOOST_TEST(!rests.isInBackoff(endpoint, start + Milliseconds(3000)));
     rests.ask(endpoint, Milliseconds(3000), start + Milliseconds(2000));
-    BOOST_TEST(rests.isResting(endpoint, start + Milliseconds(4999)));
+    BOOST_TEST(rests.isInBackoff(endpoint, start + Milliseconds(4999)));
 }
 
 BOOST_AUTO_TEST_CASE(a_backoff_does_not_apply_to_another_incarnation)
 {
-    EndpointRests rests;
+    EndpointBackoffs rests;
     rests.ask(endpoint, Milliseconds(3000), start);
-    BOOST_TEST(!rests.isResting({ .id = "one", .born = 2 }, start));
+    BOOST_TEST(!rests.isInBackoff({ .id = "one", .born = 2 }, start));
     BOOST_TEST(rests.resting(start) == 1U);
     BOOST_TEST(rests.resting(start + Milliseconds(3000)) == 0U);
 }
--- a/tests/modules/balance/test_endpoint_book.cpp
+++ b/tests/modules/balance/test_endpoint_book.cpp
@@ -12,14 +12,14 @@
 {
     SteadyTime start { std::chrono::hours(1) };
     EndpointBook book("z");
-    BOOST_TEST(!book.trustsTimes(start));
+    BOOST_TEST(!book.areTimesTrusted(start));
     EndpointState endpoint;
     book.noteSent({ .promptTokens = 1000 }, endpoint, start);
-    BOOST_TEST(!book.trustsTimes(start + Milliseconds(1999)));
-    BOOST_TEST(book.trustsTimes(start + Milliseconds(2000)));
+    BOOST_TEST(!book.areTimesTrusted(start + Milliseconds(1999)));
+    BOOST_TEST(book.areTimesTrusted(start + Milliseconds(2000)));
     for (int n = 0; n < 20; ++n)
         book.observeFirstEvent(1000, 0.03);
-    BOOST_TEST(book.trustsTimes(start + Milliseconds(500)));
+    BOOST_TEST(book.areTimesTrusted(start + Milliseconds(500)));
 }
 
 namespace {
@@ -99,7 +99,7 @@
     EndpointBook book("z");
     book.markLeaving({ .id = "heard", .born = 1 }, start);
     for (int n = 0; n < 200; ++n)
-        book.foundLeaving({ .id = "found" + std::to_string(n), .born = 1 }, start + Milliseconds(n));
+        book.markFoundLeaving({ .id = "found" + std::to_string(n), .born = 1 }, start + Milliseconds(n));
     auto marks = book.ownLeavingMarks(start + Milliseconds(300), 64);
     BOOST_TEST(marks.size() == 64U);
     BOOST_TEST(marks.front().id == "found199");
@@ -118,13 +118,13 @@
     auto markedInList = endpoint(5, true);
     markedInList.id = "told";
     book.update(listOf({ listed, gone, markedInList }), oneService(), start);
-    book.foundLeaving(listed.life(), start);
+    book.markFoundLeaving(listed.life(), start);
     book.markLeaving(gone.life(), start);
     book.update(listOf({ listed, markedInList }), oneService(), start + Milliseconds(10));
     auto later = start + Milliseconds(10000);
     BOOST_TEST(book.recentLeavingMarks(later).empty());
-    BOOST_TEST((book.unlistedLeavingMarks() == std::vector { listed.life() }));
-    book.tellMarksAgain(later);
+    BOOST_TEST((book.leavingMarksMissingInList() == std::vector { listed.life() }));
+    book.resendLeavingMarks(later);
     BOOST_TEST((book.recentLeavingMarks(later) == std::vector { listed.life() }));
     BOOST_TEST((book.ownLeavingMarks(later, 64) == std::vector { listed.life() }));
     BOOST_TEST(book.recentLeavingMarks(later + Milliseconds(6000)).empty());
@@ -141,19 +141,19 @@
     book.update(listOf({ first, second }), oneService(), start);
     book.askedRest(first.life(), Milliseconds(3000), start);
     BOOST_TEST(book.choose(request, start)->endpoint->listed.id == "j");
-    BOOST_TEST(!book.firstBack(request, start).has_value());
+    BOOST_TEST(!book.earliestAvailable(request, start).has_value());
     book.askedRest(second.life(), Milliseconds(2000), start);
     BOOST_TEST(!book.choose(request, start).has_value());
-    BOOST_TEST((book.firstBack(request, start) == start + Milliseconds(2000)));
+    BOOST_TEST((book.earliestAvailable(request, start) == start + Milliseconds(2000)));
     // The backoff also stays when the endpoint disappears from the list and returns.
     book.update(listOf({ first }), oneService(), start + Milliseconds(100));
     book.update(listOf({ first, second }), oneService(), start + Milliseconds(200));
     BOOST_TEST(!book.choose(request, start + Milliseconds(1999)).has_value());
     BOOST_TEST(!book.mayStillSend(second.life(), start + Milliseconds(1999)));
     BOOST_TEST(book.choose(request, start + Milliseconds(2000))->endpoint->listed.id == "j");
-    // A leaving endpoint does not count for firstBack().
-    book.foundLeaving(second.life(), start + Milliseconds(2000));
-    BOOST_TEST((book.firstBack(request, start + Milliseconds(2000)) == start + Milliseconds(3000)));
+    // A leaving endpoint does not count for earliestAvailable().
+    book.markFoundLeaving(second.life(), start + Milliseconds(2000));
+    BOOST_TEST((book.earliestAvailable(request, start + Milliseconds(2000)) == start + Milliseconds(3000)));
 }
 
 // Guards against keeping marks for ever, which would have filled the memory over months of reclaimed instances.
--- a/tests/modules/balance/test_endpoint_health.cpp
+++ b/tests/modules/balance/test_endpoint_health.cpp
@@ -19,14 +19,14 @@
     EndpointHealth health({ .firstPause = Milliseconds(100), .longestPause = Milliseconds(300) });
     auto now = start;
     for (int pause : { 100, 200, 300, 300 }) {
-        health.onTurnedAway(now);
+        health.onRequestRefused(now);
         BOOST_TEST(!health.isUsable(now + Milliseconds(pause - 1)));
         now += Milliseconds(pause);
         BOOST_TEST(health.isUsable(now));
     }
     BOOST_TEST(health.failures() == 0);
     health.onSuccess();
-    health.onTurnedAway(now);
+    health.onRequestRefused(now);
     BOOST_TEST(health.isUsable(now + Milliseconds(100)));
 }
 
--- a/tests/modules/control/test_blocked_requests.cpp
+++ b/tests/modules/control/test_blocked_requests.cpp
@@ -62,12 +62,12 @@
 const BlockedRequestsOptions shortDelays { .initialRetryDelay = Milliseconds(1), .maxRetryDelay = Milliseconds(2) };
 
 // Runs a new BlockedRequests for `time` and returns the requests that it read from the store at its start.
-std::vector<KeptRequest> runFor(MemoryStore& store, Milliseconds time, const std::function<void(BlockedRequests&)>& action)
+std::vector<StoredBlockedRequest> runFor(MemoryStore& store, Milliseconds time, const std::function<void(BlockedRequests&)>& action)
 {
     asio::io_context context;
-    std::vector<KeptRequest> read;
+    std::vector<StoredBlockedRequest> read;
     BlockedRequests blocked(
-        context, store, [&](std::vector<KeptRequest> found) { read = std::move(found); }, shortDelays);
+        context, store, [&](std::vector<StoredBlockedRequest> found) { read = std::move(found); }, shortDelays);
     asio::co_spawn(context, blocked.run(), asio::detached);
     action(blocked);
     context.run_for(time);
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(a_request_stored_by_one_node_is_read_by_another_at_its_start)
 {
     MemoryStore store;
-    KeptRequest blockedRequest { .request = request, .round = 1, .blockedAt = 5000 };
+    StoredBlockedRequest blockedRequest { .request = request, .round = 1, .blockedAt = 5000 };
     runFor(store, Milliseconds(100), [&](auto& it) { it.keep(blockedRequest); });
     auto read = runFor(store, Milliseconds(100), [](auto&) {});
     BOOST_REQUIRE(read.size() == 1U);
--- a/tests/modules/control/test_endpoint_history.cpp
+++ b/tests/modules/control/test_endpoint_history.cpp
@@ -49,15 +49,15 @@
         if (revision % 3 == 0)
             BOOST_TEST(thirdRevisions.apply(store.pageSince(thirdRevisions.revision())).value());
         if (revision % 7 == 0)
-            conflicts += mixedSources.apply((revision % 2 == 0 ? store : thirdRevisions).pageSince(mixedSources.revisionToAsk())) ? 0 : 1;
+            conflicts += mixedSources.apply((revision % 2 == 0 ? store : thirdRevisions).pageSince(mixedSources.revisionToRequest())) ? 0 : 1;
     }
-    thirdRevisions.apply(store.pageSince(thirdRevisions.revisionToAsk())).value();
-    BOOST_TEST(!thirdRevisions.apply(store.pageSince(thirdRevisions.revisionToAsk())).value());
+    thirdRevisions.apply(store.pageSince(thirdRevisions.revisionToRequest())).value();
+    BOOST_TEST(!thirdRevisions.apply(store.pageSince(thirdRevisions.revisionToRequest())).value());
     BOOST_TEST(conflicts > 0U);
     // `thirdRevisions` may have missed a change that `mixedSources` has seen; then the first page is refused and `mixedSources` requests
     // all entries.
-    if (!mixedSources.apply(thirdRevisions.pageSince(mixedSources.revisionToAsk())))
-        BOOST_TEST(mixedSources.apply(thirdRevisions.pageSince(mixedSources.revisionToAsk())).value());
+    if (!mixedSources.apply(thirdRevisions.pageSince(mixedSources.revisionToRequest())))
+        BOOST_TEST(mixedSources.apply(thirdRevisions.pageSince(mixedSources.revisionToRequest())).value());
     BOOST_TEST((thirdRevisions.values() == store.values()));
     BOOST_TEST((mixedSources.values() == store.values()));
 }
@@ -72,10 +72,10 @@
     complete.take({ { "a", entry(1) }, { "b", entry(1) } }, 20);
     BOOST_TEST(requester.apply(complete.pageSince(0)).value());
     skipping.take({ { "a", entry(1) } }, 30);
-    auto applied = requester.apply(skipping.pageSince(requester.revisionToAsk()));
+    auto applied = requester.apply(skipping.pageSince(requester.revisionToRequest()));
     BOOST_REQUIRE(!applied);
     BOOST_TEST((applied.error().code == ErrorCode::Conflict));
-    BOOST_TEST(requester.apply(skipping.pageSince(requester.revisionToAsk())).value());
+    BOOST_TEST(requester.apply(skipping.pageSince(requester.revisionToRequest())).value());
     BOOST_TEST((requester.values() == skipping.values()));
 }
 
--- a/tests/modules/control/test_node_summary.cpp
+++ b/tests/modules/control/test_node_summary.cpp
@@ -43,7 +43,7 @@
     leaving.leaving = true;
     BOOST_TEST(isFirstCandidate({ leaving, row("c") }));
     BOOST_TEST(!isFirstCandidate({ row("c") }, { .node = "b", .zone = "z", .watchesStore = false }));
-    BOOST_TEST(!isFirstCandidate({ row("c") }, { .node = "b", .zone = "z", .watchesStore = true, .leftDuties = true }));
+    BOOST_TEST(!isFirstCandidate({ row("c") }, { .node = "b", .zone = "z", .watchesStore = true, .relinquishedDuties = true }));
 }
 
 BOOST_AUTO_TEST_CASE(the_summary_lists_former_holders_of_the_duties)
@@ -55,8 +55,8 @@
     currentHolder.leftDutiesFence = 2;
     currentHolder.holdsDuties = true;
     auto summary = summarizePeers({ &formerHolder, &currentHolder }, owner);
-    BOOST_TEST(summary.leftDuties.size() == 1U);
-    BOOST_TEST((summary.leftDuties["a"] == RelinquishedDuties { .life = 9, .fence = 3 }));
+    BOOST_TEST(summary.relinquishedDuties.size() == 1U);
+    BOOST_TEST((summary.relinquishedDuties["a"] == RelinquishedDuties { .life = 9, .fence = 3 }));
     BOOST_TEST(summary.peerHoldsDuties);
 }
 
--- a/tests/modules/control/test_peer_pages.cpp
+++ b/tests/modules/control/test_peer_pages.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t maxBytes = 1U << 20U;
 
-nlohmann::json read(const HttpResponse& response) { return nlohmann::json::parse(inflated(response.body, maxBytes).value()); }
+nlohmann::json read(const HttpResponse& response) { return nlohmann::json::parse(decompressText(response.body, maxBytes).value()); }
 
 } // namespace
 
--- a/tests/modules/duty/test_duty_model.cpp
+++ b/tests/modules/duty/test_duty_model.cpp
@@ -1,6 +1,6 @@
 // Model checker for the singleton duties. Explores every interleaving, within bounds, of two nodes, a store that loses answers and applies
 // writes late, a cloud that receives calls late, node kills and passing time. The nodes decide by the production state machines
-// LeaseMachine and UsageReports.
+// LeaseStateMachine and UsageReports.
 #include "modules/duty/usage_reports.h"
 #include "modules/placement/lease.h"
 #include <algorithm>
@@ -59,7 +59,7 @@
 };
 
 struct Node {
-    LeaseMachine lease;
+    LeaseStateMachine lease;
     UsageReports reports;
     bool isRestored { false };
 
@@ -112,7 +112,7 @@
 
     static Node makeNode(std::size_t n)
     {
-        return { .lease = LeaseMachine(nameOf(n), { .duration = leaseTime, .renewEvery = leaseTime / 3 }), .reports = UsageReports({ .windowMilliseconds = 1, .settleMilliseconds = 0, .gatherMilliseconds = 0 }) };
+        return { .lease = LeaseStateMachine(nameOf(n), { .duration = leaseTime, .renewEvery = leaseTime / 3 }), .reports = UsageReports({ .windowMilliseconds = 1, .settleMilliseconds = 0, .gatherMilliseconds = 0 }) };
     }
 
     // Usage counts known to node `n`. They differ between the nodes.
@@ -225,7 +225,7 @@
         auto now = timeOf(state);
         constexpr std::uint64_t late = 1000;
         auto report = node.reports.nextDue(usageAt(n), late);
-        auto request = node.isRestored && report ? node.lease.nextWithNote(usageReportToJson(*report), now) : std::nullopt;
+        auto request = node.isRestored && report ? node.lease.nextRenewalWithNote(usageReportToJson(*report), now) : std::nullopt;
         if (!request)
             return;
         write(state, n, *request, delivery);
--- a/tests/modules/forward/test_endpoint_notice.cpp
+++ b/tests/modules/forward/test_endpoint_notice.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const WireNames names { .receipt = "X-Receipt", .leaving = "X-Leaves", .limit = "X-Limit", .endpointFamily = "X-" };
+const WireNames names { .receipt = "X-Receipt", .leaving = "X-Leaves", .limit = "X-Limit", .endpointFieldPrefix = "X-" };
 
 EndpointNotice noticeFrom(int status, std::vector<HttpField> fields) { return parseNotice({ .status = status, .fields = std::move(fields) }, names); }
 
@@ -40,7 +40,7 @@
 
 BOOST_AUTO_TEST_CASE(out_of_range_malformed_and_repeated_retry_after_values)
 {
-    BOOST_TEST((backoffFrom("99999999999999999999").backoff == longestRetryAfter));
+    BOOST_TEST((backoffFrom("99999999999999999999").backoff == maximumParsedRetryAfter));
     for (const auto* value : { "", "-1", "-0.5", "nan", "inf", "1e3", "0x10", "3 s", "3,5", "+3", "Thu, 03 Dec 2026 10:00:00 GMT", "0.000000000000000000000000000000000001" }) {
         BOOST_TEST(!backoffFrom(value).backoff.has_value());
         BOOST_TEST(!backoffFrom(value).isWellFormed);
--- a/tests/modules/limits/limit_simulation.h
+++ b/tests/modules/limits/limit_simulation.h
@@ -95,7 +95,7 @@
     struct Message {
         SteadyTime at {};
         unsigned to { 0 };
-        std::shared_ptr<const LimitNews> limitMessage {};
+        std::shared_ptr<const LimitUpdate> limitMessage {};
 
         bool operator<(const Message& other) const { return at > other.at; }
     };
@@ -103,7 +103,7 @@
     std::unique_ptr<EndpointLimits> newLimits(std::uint64_t seed) const
     {
         auto limits = std::make_unique<EndpointLimits>(EndpointLimitsOptions {}, seed);
-        limits->setNewsTime(m_options.propagationTime);
+        limits->setPropagationTime(m_options.propagationTime);
         return limits;
     }
 
@@ -111,8 +111,8 @@
 
     void receiveAnswer(unsigned granter)
     {
-        LimitWord word { .endpoint = m_endpoint, .perSecond = m_advertisedPerSecond, .sentAt = milliseconds() - 1, .heardAt = milliseconds() };
-        m_granters[granter].limits->hear(word, m_now);
+        AdvertisedLimit word { .endpoint = m_endpoint, .perSecond = m_advertisedPerSecond, .sentAt = milliseconds() - 1, .receivedAt = milliseconds() };
+        m_granters[granter].limits->onAdvertisedLimit(word, m_now);
     }
 
     void advance()
@@ -124,7 +124,7 @@
             auto message = m_messages.top();
             m_messages.pop();
             auto& it = m_granters[message.to];
-            if (it.up && it.limits->onNews(*message.limitMessage, milliseconds(), m_now))
+            if (it.up && it.limits->onPeerUpdate(*message.limitMessage, milliseconds(), m_now))
                 scheduleSend(it);
         }
         for (unsigned n = 0; n < m_granters.size(); ++n) {
@@ -154,7 +154,7 @@
         auto& it = m_granters[from];
         it.sendsAt.reset();
         it.lastSentAt = m_now;
-        auto limitMessage = std::make_shared<const LimitNews>(LimitNews { .node = "n" + std::to_string(from), .lifetime = it.lifetime, .words = it.limits->takeWordsTold(), .uses = it.limits->takeUsesTold(m_now) });
+        auto limitMessage = std::make_shared<const LimitUpdate>(LimitUpdate { .node = "n" + std::to_string(from), .lifetime = it.lifetime, .words = it.limits->limitsToSend(), .uses = it.limits->creditUsesToSend(m_now) });
         std::bernoulli_distribution isLost(m_options.lossShare);
         std::bernoulli_distribution isSlow(0.2);
         for (unsigned n = 0; n < m_granters.size(); ++n) {
@@ -166,7 +166,7 @@
     LimitSimulationOptions m_options;
     std::mt19937_64 m_random;
     SteadyTime m_now { std::chrono::seconds(1000) };
-    EndpointLife m_endpoint { .id = "i-1" };
+    EndpointIncarnation m_endpoint { .id = "i-1" };
     double m_advertisedPerSecond { unlimitedPerSecond };
     unsigned m_skewedGranter { 0 };
     std::vector<Granter> m_granters {};
--- a/tests/modules/limits/test_limit_words.cpp
+++ b/tests/modules/limits/test_advertised_limits.cpp
@@ -1,8 +1,8 @@
 // Tests which of the limits that an endpoint advertised is in force, independent of the order in which nodes receive them, and the retry
 // delays of refused clients.
-#include "modules/limits/limit_words.h"
+#include "modules/limits/advertised_limits.h"
 
-#include "modules/limits/return_times.h"
+#include "modules/limits/retry_delays.h"
 #include <boost/test/unit_test.hpp>
 #include <limits>
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-const EndpointLife endpoint { .id = "i-1", .born = 5 };
+const EndpointIncarnation endpoint { .id = "i-1", .born = 5 };
 
-LimitWord limit(double perSecond, std::uint64_t sentAt, std::uint64_t heardAt) { return { .endpoint = endpoint, .perSecond = perSecond, .sentAt = sentAt, .heardAt = heardAt }; }
+AdvertisedLimit limit(double perSecond, std::uint64_t sentAt, std::uint64_t receivedAt) { return { .endpoint = endpoint, .perSecond = perSecond, .sentAt = sentAt, .receivedAt = receivedAt }; }
 
 } // namespace
 
@@ -69,7 +69,7 @@
     AdvertisedLimits limits;
     for (double perSecond : { -1.0, 2 * unlimitedPerSecond, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity() })
         BOOST_TEST(!limits.update(limit(perSecond, 1, 2)));
-    BOOST_TEST(!limits.update({ .perSecond = 1, .sentAt = 1, .heardAt = 2 }));
+    BOOST_TEST(!limits.update({ .perSecond = 1, .sentAt = 1, .receivedAt = 2 }));
     BOOST_TEST(limits.isEmpty());
 }
 
@@ -77,7 +77,7 @@
 {
     AdvertisedLimits limits;
     for (int n = 0; n < 10; ++n)
-        limits.update({ .endpoint = { .id = std::to_string(n) }, .perSecond = 1, .sentAt = 1, .heardAt = 2 });
+        limits.update({ .endpoint = { .id = std::to_string(n) }, .perSecond = 1, .sentAt = 1, .receivedAt = 2 });
     std::map<std::string, int> sent;
     for (int n = 0; n < 5; ++n) {
         auto batch = limits.nextToSend(4);
@@ -94,8 +94,8 @@
 {
     AdvertisedLimits limits;
     limits.update(limit(2, 100, 200));
-    limits.update({ .endpoint = { .id = "i-2" }, .perSecond = 1, .sentAt = 100, .heardAt = 200 });
-    auto isUsed = [](const EndpointLife& life) { return life == endpoint; };
+    limits.update({ .endpoint = { .id = "i-2" }, .perSecond = 1, .sentAt = 100, .receivedAt = 200 });
+    auto isUsed = [](const EndpointIncarnation& life) { return life == endpoint; };
     BOOST_TEST(limits.removeExpired(60000, isUsed).empty());
     BOOST_TEST(limits.removeExpired(60201, isUsed).size() == 1U);
     BOOST_TEST((limits.perSecond(endpoint) == 2.0));
@@ -110,7 +110,7 @@
 
 BOOST_AUTO_TEST_CASE(clients_retry_one_after_the_other)
 {
-    ReturnTimes times;
+    RetryDelays times;
     SteadyTime now { std::chrono::seconds(100) };
     auto earliest = now + Milliseconds(500);
     BOOST_TEST((times.next("s", earliest, 4, now) == Milliseconds(500)));
@@ -122,12 +122,12 @@
 
 BOOST_AUTO_TEST_CASE(retry_delay_never_exceeds_maximum)
 {
-    ReturnTimes times;
+    RetryDelays times;
     SteadyTime now { std::chrono::seconds(100) };
     Milliseconds longest {};
     for (int n = 0; n < 100; ++n)
         longest = std::max(longest, times.next("s", now, 0.001, now));
-    BOOST_TEST((longest <= ReturnTimesOptions {}.maxDelay));
+    BOOST_TEST((longest <= RetryDelaysOptions {}.maxDelay));
     BOOST_TEST((longest > Milliseconds(0)));
 }
 
--- a/tests/modules/limits/test_endpoint_limits.cpp
+++ b/tests/modules/limits/test_endpoint_limits.cpp
@@ -127,7 +127,7 @@
 
 namespace {
 
-const EndpointLife endpoint { .id = "i-1" };
+const EndpointIncarnation endpoint { .id = "i-1" };
 const SteadyTime start { std::chrono::seconds(1000) };
 
 EndpointCredits limitedTo(double perSecond)
@@ -166,11 +166,11 @@
     auto later = start + std::chrono::milliseconds(1100);
     BOOST_TEST(credits.take(endpoint, 1, later));
     BOOST_TEST((credits.nextCreditAt(endpoint, later) > later));
-    credits.giveBack(endpoint, later);
+    credits.refundCredit(endpoint, later);
     BOOST_TEST((credits.nextCreditAt(endpoint, later) == later));
     BOOST_TEST(credits.take(endpoint, 1, later));
     BOOST_TEST(!credits.take(endpoint, 1, later));
-    credits.giveBack(endpoint, later);
+    credits.refundCredit(endpoint, later);
     BOOST_TEST(!credits.take(endpoint, 1, later + Milliseconds(800)));
 }
 
@@ -218,7 +218,7 @@
 BOOST_AUTO_TEST_CASE(share_of_unreachable_nodes_is_not_granted)
 {
     auto credits = limitedTo(1);
-    credits.setSpeakingPart(0.5);
+    credits.setReachableShare(0.5);
     BOOST_TEST(!credits.take(endpoint, 1, start + Milliseconds(1900)));
     BOOST_TEST(credits.take(endpoint, 1, start + Milliseconds(2100)));
 }
@@ -236,11 +236,11 @@
 BOOST_AUTO_TEST_CASE(limit_with_future_timestamp_is_ignored)
 {
     EndpointLimits limits({}, 1);
-    limits.hear({ .endpoint = endpoint, .perSecond = 1, .sentAt = 1000, .heardAt = 1010 }, start);
-    LimitNews limitMessage { .node = "b", .lifetime = 1, .words = { { .endpoint = endpoint, .perSecond = unlimitedPerSecond, .sentAt = 6000, .heardAt = 6010 } } };
-    BOOST_TEST(!limits.onNews(limitMessage, 1020, start));
+    limits.onAdvertisedLimit({ .endpoint = endpoint, .perSecond = 1, .sentAt = 1000, .receivedAt = 1010 }, start);
+    LimitUpdate limitMessage { .node = "b", .lifetime = 1, .words = { { .endpoint = endpoint, .perSecond = unlimitedPerSecond, .sentAt = 6000, .receivedAt = 6010 } } };
+    BOOST_TEST(!limits.onPeerUpdate(limitMessage, 1020, start));
     BOOST_TEST(limits.isLimited(endpoint));
-    BOOST_TEST(limits.onNews(limitMessage, 6020, start));
+    BOOST_TEST(limits.onPeerUpdate(limitMessage, 6020, start));
     BOOST_TEST(!limits.isLimited(endpoint));
 }
 
--- a/tests/modules/limits/test_team_limits.cpp
+++ b/tests/modules/limits/test_team_limits.cpp
@@ -51,11 +51,11 @@
 {
     TeamLimits limits(start);
     for (int n = 0; n <= 40; ++n)
-        limits.onPeer("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
+        limits.onPeerTotals("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
     // The peer used 80 of 100 per second for ten seconds.
     BOOST_TEST(!limits.admit(team(100), 1, at(10000)).has_value());
     for (int n = 41; n <= 80; ++n)
-        limits.onPeer("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
+        limits.onPeerTotals("p", 1, age(at(250 * n)), { { "t", 20.0 * n } }, at(250 * n));
     BOOST_TEST(!limits.admit(team(100), 1, at(20000)).has_value());
 }
 
@@ -64,7 +64,7 @@
 {
     TeamLimits limits(start, { .expectedNodes = 2 });
     // The peer admitted 90 per second for 100 s; only 0.5 s of this is after this node's start.
-    limits.onPeer("p", 1, Milliseconds(100000), { { "t", 9000.0 } }, at(500));
+    limits.onPeerTotals("p", 1, Milliseconds(100000), { { "t", 9000.0 } }, at(500));
     BOOST_TEST(!limits.admit(team(100), 4, at(500)).has_value());
     BOOST_TEST(limits.admit(team(100), 4, at(500)).has_value() == false);
     BOOST_TEST(limits.admit(team(100), 4, at(500)).has_value());
@@ -73,10 +73,10 @@
 BOOST_AUTO_TEST_CASE(delayed_reports_are_not_taken_for_a_burst)
 {
     TeamLimits limits(start);
-    limits.onPeer("p", 1, age(at(4000)), { { "t", 0.0 } }, at(4000));
+    limits.onPeerTotals("p", 1, age(at(4000)), { { "t", 0.0 } }, at(4000));
     BOOST_TEST(!limits.admit(team(1000), 1, at(4000)).has_value());
-    limits.onPeer("p", 1, age(at(5000)), { { "t", 100.0 } }, at(5000));
-    limits.onPeer("p", 1, age(at(5001)), { { "t", 200.0 } }, at(5001));
+    limits.onPeerTotals("p", 1, age(at(5000)), { { "t", 100.0 } }, at(5000));
+    limits.onPeerTotals("p", 1, age(at(5001)), { { "t", 200.0 } }, at(5001));
     BOOST_TEST(!limits.admit(team(1000), 1, at(5300)).has_value());
 }
 
@@ -102,7 +102,7 @@
         for (int from = 0; from < nodes; ++from) {
             for (int to = 0; to < nodes; ++to) {
                 if (from != to)
-                    limits[to].onPeer("n" + std::to_string(from), 1, Milliseconds(now), limits[from].ownTotals(), at(now));
+                    limits[to].onPeerTotals("n" + std::to_string(from), 1, Milliseconds(now), limits[from].ownTotals(), at(now));
             }
         }
     }
@@ -118,7 +118,7 @@
     constexpr int nodes = 91;
     constexpr double rate = 50000;
     std::mt19937 random(7);
-    std::vector<TeamLimits> limits(nodes, TeamLimits(start, { .cautiousFor = Milliseconds(17000), .expectedNodes = nodes }));
+    std::vector<TeamLimits> limits(nodes, TeamLimits(start, { .startupPhase = Milliseconds(17000), .expectedNodes = nodes }));
     std::uniform_int_distribution<int> node(0, nodes - 1);
     double admitted = 0;
     constexpr int end = 8000;
@@ -133,7 +133,7 @@
             for (int n = 0; n < 8; ++n) {
                 auto from = node(random);
                 if (from != to)
-                    limits[to].onPeer("n" + std::to_string(from), 1, Milliseconds(now), limits[from].ownTotals(), at(now));
+                    limits[to].onPeerTotals("n" + std::to_string(from), 1, Milliseconds(now), limits[from].ownTotals(), at(now));
             }
         }
     }
@@ -160,7 +160,7 @@
     BOOST_TEST(admitted < 50000.0 * 21);
     BOOST_TEST(admitted > 50000.0 * 19);
     // A peer that stopped reporting may accumulate the same debt.
-    limits.onPeer("p", 1, age(at(25000)), { { "t", 0.0 } }, at(25000));
+    limits.onPeerTotals("p", 1, age(at(25000)), { { "t", 0.0 } }, at(25000));
     BOOST_TEST(limits.admit(team(50000), 200, at(30000)).has_value() == false);
     BOOST_TEST(!limits.admit(team(50000), 75000, at(30000)).has_value());
     BOOST_TEST(limits.admit(team(50000), 200, at(30000)).has_value());
@@ -172,7 +172,7 @@
     TeamLimits limits(start);
     for (int n = 0; n <= 12; ++n) {
         for (int peer = 0; peer < 4; ++peer)
-            limits.onPeer("p" + std::to_string(peer), 1, Milliseconds(250 * n), { { "t", 1.0 * n } }, at(250 * n));
+            limits.onPeerTotals("p" + std::to_string(peer), 1, Milliseconds(250 * n), { { "t", 1.0 * n } }, at(250 * n));
     }
     double admitted = 0;
     for (int now = 3000; now < 13000; now += 10) {
--- a/tests/modules/peers/fleet_simulation.h
+++ b/tests/modules/peers/fleet_simulation.h
@@ -1,11 +1,11 @@
 // Simulates a fleet of nodes in one process and in simulated time, over a network with delays, losses and partitions. The nodes run the
-// classes of onyxnotch-entry: PeerTable, FleetRelay, TeamLimits, SuspectBook; only sockets and timers are replaced.
+// classes of onyxnotch-entry: PeerTable, FleetRelay, TeamLimits, SuspectTracker; only sockets and timers are replaced.
 #pragma once
 
 #include "core/net/frame.h"
 #include "modules/limits/team_limits.h"
 #include "modules/peers/fleet_relay.h"
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include <memory>
 #include <queue>
 #include <variant>
@@ -41,7 +41,7 @@
         std::unique_ptr<PeerTable> table {};
         std::unique_ptr<FleetRelay> relay {};
         std::unique_ptr<TeamLimits> limits {};
-        std::unique_ptr<SuspectBook> suspects {};
+        std::unique_ptr<SuspectTracker> suspects {};
         std::optional<FleetRelay::Others> others {};
         std::uint64_t sent { 0 };
         std::uint64_t sentBytes { 0 };
@@ -124,12 +124,12 @@
     struct Arrival {
     };
     struct ZoneMessage {
-        GroupSum sum {};
+        GroupAggregate sum {};
     };
     struct FleetMessage {
-        GroupSum sum {};
+        GroupAggregate sum {};
     };
-    using Message = std::variant<Tick, Arrival, std::shared_ptr<const SuspectNews>, std::shared_ptr<const PeerRow>, std::shared_ptr<const ZoneMessage>, std::shared_ptr<const FleetMessage>>;
+    using Message = std::variant<Tick, Arrival, std::shared_ptr<const SuspectUpdate>, std::shared_ptr<const PeerRow>, std::shared_ptr<const ZoneMessage>, std::shared_ptr<const FleetMessage>>;
 
     struct Event {
         SteadyTime at {};
@@ -151,9 +151,9 @@
         node.table = std::make_unique<PeerTable>(node.name);
         node.relay = std::make_unique<FleetRelay>(*node.table, FleetRelayOptions { .node = node.name, .zone = node.zone, .randomSeed = static_cast<std::uint32_t>(m_random()) }, m_now);
         node.limits = std::make_unique<TeamLimits>(m_now);
-        node.suspects = std::make_unique<SuspectBook>(SuspectOptions { .node = node.name });
+        node.suspects = std::make_unique<SuspectTracker>(SuspectOptions { .node = node.name });
         node.limits->setFreshFor(m_options.period * 4);
-        node.limits->setCautiousFor(m_options.period * 10);
+        node.limits->setStartupPhase(m_options.period * 10);
         node.limits->setExpectedNodes(m_options.nodes);
         // The initial contacts are those in the store's list of nodes.
         for (const auto& it : m_nodes)
@@ -178,14 +178,14 @@
             onTick(event.node);
         else if (std::holds_alternative<Arrival>(event.message))
             onArrival(event.node);
-        else if (const auto* news = std::get_if<std::shared_ptr<const SuspectNews>>(&event.message)) {
-            node.suspects->onNews(**news, m_now);
-            if (node.suspects->takeWorthRelaying() && node.relay->isRelay(m_now))
+        else if (const auto* news = std::get_if<std::shared_ptr<const SuspectUpdate>>(&event.message)) {
+            node.suspects->onPeerUpdate(**news, m_now);
+            if (node.suspects->takeRelayDue() && node.relay->isRelay(m_now))
                 sendSuspects(event.node);
         } else if (const auto* row = std::get_if<std::shared_ptr<const PeerRow>>(&event.message)) {
             if (node.table->apply(**row, m_now)) {
                 node.relay->onRow(**row, m_now);
-                node.suspects->onNews((*row)->suspects, m_now);
+                node.suspects->onPeerUpdate((*row)->suspects, m_now);
             }
         } else if (const auto* zone = std::get_if<std::shared_ptr<const ZoneMessage>>(&event.message))
             node.relay->onZoneAggregate((*zone)->sum, m_now);
@@ -213,16 +213,16 @@
     }
 
     static std::size_t bytesOf(const std::shared_ptr<const PeerRow>& row) { return packMessage(MessageType::PeerRow, PeerMessage { .row = *row }).payload.size(); }
-    static std::size_t bytesOf(const std::shared_ptr<const ZoneMessage>& message) { return packMessage(MessageType::ZoneSum, message->sum).payload.size(); }
-    static std::size_t bytesOf(const std::shared_ptr<const FleetMessage>& message) { return packMessage(MessageType::FleetSum, message->sum).payload.size(); }
-    static std::size_t bytesOf(const std::shared_ptr<const SuspectNews>& news) { return packMessage(MessageType::SuspectNotice, *news).payload.size(); }
+    static std::size_t bytesOf(const std::shared_ptr<const ZoneMessage>& message) { return packMessage(MessageType::ZoneAggregate, message->sum).payload.size(); }
+    static std::size_t bytesOf(const std::shared_ptr<const FleetMessage>& message) { return packMessage(MessageType::FleetAggregate, message->sum).payload.size(); }
+    static std::size_t bytesOf(const std::shared_ptr<const SuspectUpdate>& news) { return packMessage(MessageType::SuspectNotice, *news).payload.size(); }
     static std::size_t bytesOf(Tick) { return 0; }
     static std::size_t bytesOf(Arrival) { return 0; }
 
     void onTick(unsigned n)
     {
         auto& node = m_nodes[n];
-        node.table->forgetOld(m_now);
+        node.table->purgeExpired(m_now);
         PeerRow row { .node = node.name, .lifetime = node.lifetime, .sequence = ++node.sequence, .ageMilliseconds = static_cast<std::uint32_t>(toMilliseconds(m_now - node.startedAt).count()), .zone = node.zone, .gossipAddress = node.address, .teamTotals = node.limits->ownTotals(), .loads = loadsOf(n), .suspects = node.suspects->news(m_now) };
         if (n < 3 * m_options.zones && n % m_options.zones == 0) {
             for (unsigned it = 0; it < m_options.endpointsLeaving; ++it)
@@ -231,18 +231,18 @@
         node.relay->setOwnRow(row, m_now);
         send(n, node.relay->rowReceivers(), std::make_shared<const PeerRow>(row));
         if (node.relay->isRelay(m_now)) {
-            auto zone = node.relay->zoneTelling(m_now);
+            auto zone = node.relay->outgoingZoneAggregate(m_now);
             send(n, zone.receivers, std::make_shared<const ZoneMessage>(ZoneMessage { .sum = std::move(zone.sum) }));
-            if (node.relay->isFleetTellingDue(m_now)) {
-                auto fleet = node.relay->fleetTelling(m_now);
+            if (node.relay->isFleetAggregateDue(m_now)) {
+                auto fleet = node.relay->outgoingFleetAggregate(m_now);
                 send(n, fleet.receivers, std::make_shared<const FleetMessage>(FleetMessage { .sum = std::move(fleet.sum) }));
             }
         }
         node.others = node.relay->others(m_now);
         if (node.others)
-            node.suspects->onNews(node.others->sum.suspects, m_now);
+            node.suspects->onPeerUpdate(node.others->sum.suspects, m_now);
         if (node.others)
-            node.limits->onFleet(node.others->sum.nodes, node.others->sum.silentNodes, node.others->sum.teamTotals, node.others->heardAt);
+            node.limits->onFleetTotals(node.others->sum.nodes, node.others->sum.silentNodes, node.others->sum.teamTotals, node.others->receivedAt);
         push(n, node.relay->period(m_now), Tick {}, node.lifetime);
     }
 
@@ -250,8 +250,8 @@
     {
         auto& node = m_nodes[n];
         bool relays = node.relay->isRelay(m_now);
-        auto news = relays ? node.suspects->relayedNews(m_now) : node.suspects->news(m_now);
-        send(n, relays ? node.relay->urgentReceivers(m_now) : node.relay->rowReceivers(), std::make_shared<const SuspectNews>(std::move(news)));
+        auto news = relays ? node.suspects->relayedUpdate(m_now) : node.suspects->news(m_now);
+        send(n, relays ? node.relay->urgentReceivers(m_now) : node.relay->rowReceivers(), std::make_shared<const SuspectUpdate>(std::move(news)));
     }
 
     void send(unsigned n, const std::vector<Address>& receivers, const Message& message)
--- a/tests/modules/peers/test_fleet_relay.cpp
+++ b/tests/modules/peers/test_fleet_relay.cpp
@@ -102,7 +102,7 @@
 
 BOOST_AUTO_TEST_CASE(the_heaviest_loads_are_kept)
 {
-    std::map<ShortName, SummedLoad> loads;
+    std::map<ShortName, AggregatedLoad> loads;
     for (ShortName n = 0; n < 1000; ++n)
         loads[n] = { .inFlight = static_cast<std::uint16_t>(n % 7), .waitingUnits = static_cast<std::uint16_t>(n) };
     keepHeaviest(loads, 256);
@@ -226,7 +226,7 @@
 
 BOOST_AUTO_TEST_CASE(aggregates_with_values_out_of_range_are_not_sound)
 {
-    GroupSum sum { .relay = { .node = "a" }, .nodes = 3, .teamTotals = { { "t", 5 } } };
+    GroupAggregate sum { .relay = { .node = "a" }, .nodes = 3, .teamTotals = { { "t", 5 } } };
     BOOST_TEST(sum.isSound());
     auto other = sum;
     other.nodes = 0;
--- a/tests/modules/peers/test_peer_table.cpp
+++ b/tests/modules/peers/test_peer_table.cpp
@@ -39,7 +39,7 @@
     BOOST_TEST(table.aliveCount(at(1000)) == 1U);
     BOOST_TEST(table.aliveCount(at(2000)) == 0U);
     BOOST_TEST(table.contacts().size() == 2U);
-    table.forgetOld(at(31000));
+    table.purgeExpired(at(31000));
     BOOST_TEST(table.contacts().empty());
 }
 
@@ -69,7 +69,7 @@
     auto steady = std::chrono::duration_cast<Milliseconds>(at(0).time_since_epoch()).count();
     for (const auto& [node, difference] : std::map<std::string, int> { { "a", 1000 }, { "b", 1002 }, { "c", 3400 } }) {
         auto it = row(node, 1, 1);
-        it.trueMilliseconds = static_cast<std::uint64_t>(steady + difference);
+        it.fleetTimeMilliseconds = static_cast<std::uint64_t>(steady + difference);
         table.apply(it, at(0));
     }
     BOOST_TEST(table.clockDifference(1001, at(0)) == 1002);
--- a/tests/modules/placement/test_lease.cpp
+++ b/tests/modules/placement/test_lease.cpp
@@ -33,7 +33,7 @@
         LeaseOptions options { .duration = Milliseconds(1000), .renewEvery = Milliseconds(300), .clockRateBound = 0.05 };
         static constexpr std::array<double, 3> rates { 0.98, 1.0, 1.02 };
         ObjectService service;
-        std::vector<LeaseMachine> machines;
+        std::vector<LeaseStateMachine> machines;
         for (const auto* name : { "a", "b", "c" })
             machines.emplace_back(name, options);
         double now = 0;
@@ -76,18 +76,18 @@
 BOOST_AUTO_TEST_CASE(a_lease_whose_holder_resigned_can_be_acquired_at_once)
 {
     auto now = SteadyTime();
-    LeaseMachine machine("b", { .duration = Milliseconds(1000) });
+    LeaseStateMachine machine("b", { .duration = Milliseconds(1000) });
     LeaseRecord record { .holder = "a", .fence = 3, .life = 5 };
     machine.observe(record, 7, now, now);
     BOOST_TEST(!machine.next(now).has_value());
-    machine.holderGaveUp("a", 5, 2);
+    machine.onHolderResigned("a", 5, 2);
     BOOST_TEST(!machine.next(now).has_value());
-    machine.holderGaveUp("c", 5, 3);
+    machine.onHolderResigned("c", 5, 3);
     BOOST_TEST(!machine.next(now).has_value());
     // An earlier incarnation of the holder resigned; a later one has acquired the lease since.
-    machine.holderGaveUp("a", 4, 3);
+    machine.onHolderResigned("a", 4, 3);
     BOOST_TEST(!machine.next(now).has_value());
-    machine.holderGaveUp("a", 5, 3);
+    machine.onHolderResigned("a", 5, 3);
     auto leaseWrite = machine.next(now);
     BOOST_REQUIRE(leaseWrite.has_value());
     BOOST_TEST(leaseWrite->record.fence == 4U);
@@ -98,7 +98,7 @@
 BOOST_AUTO_TEST_CASE(a_holder_that_resigned_acquires_the_lease_with_a_higher_fence)
 {
     auto now = SteadyTime();
-    LeaseMachine machine("a", { .duration = Milliseconds(1000) });
+    LeaseStateMachine machine("a", { .duration = Milliseconds(1000) });
     machine.observe(std::nullopt, 0, now, now);
     auto acquisition = machine.next(now);
     BOOST_REQUIRE(acquisition.has_value());
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_CASE(a_lease_without_renewal_expires_for_its_holder)
 {
-    LeaseMachine machine("a", { .duration = Milliseconds(1000) });
+    LeaseStateMachine machine("a", { .duration = Milliseconds(1000) });
     auto now = SteadyTime();
     machine.observe(std::nullopt, 0, now, now);
     auto leaseWrite = machine.next(now);
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(a_new_holder_has_a_higher_fence)
 {
-    LeaseMachine machine("b", { .duration = Milliseconds(1000), .clockRateBound = 0 });
+    LeaseStateMachine machine("b", { .duration = Milliseconds(1000), .clockRateBound = 0 });
     auto now = SteadyTime();
     LeaseRecord other { .holder = "a", .fence = 4, .renewals = 9 };
     machine.observe(other, 17, now, now);
@@ -141,7 +141,7 @@
 
 BOOST_AUTO_TEST_CASE(a_released_lease_can_be_acquired_at_once)
 {
-    LeaseMachine machine("b", {});
+    LeaseStateMachine machine("b", {});
     machine.observe(LeaseRecord { .holder = "", .fence = 4, .renewals = 0 }, 3, SteadyTime(), SteadyTime());
     BOOST_REQUIRE(machine.next(SteadyTime()));
 }
