--- a/tests/modules/report/test_request_account.cpp
+++ b/tests/modules/report/test_request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "modules/report/request_account.h"
+#include "modules/report/request_timeline.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_CASE(a_cut_stream_is_traced_to_its_endpoint)
 {
-    auto text = requestAccount(parsed(), "r-1");
+    auto text = requestTimeline(parsed(), "r-1");
     BOOST_TEST(contains(text, "configuration_in_force version 7, from store"));
     BOOST_TEST(!contains(text, "version 4"));
     BOOST_TEST(contains(text, "store_lost"));
@@ -55,7 +55,7 @@
 
 BOOST_AUTO_TEST_CASE(a_refusal_by_the_team_limit_states_that_cause)
 {
-    auto text = requestAccount(parsed(), "r-2");
+    auto text = requestTimeline(parsed(), "r-2");
     BOOST_TEST(contains(text, "status 429"));
     BOOST_TEST(contains(text, "Cause: Its team was at its limit"));
     BOOST_TEST(!contains(text, "i-1"));
@@ -72,7 +72,7 @@
 {"time_ms":4000,"event":"request","instance":"n-1","request_id":"r-4","digest":"07-70","route":"read","team":"t","tries":0,"status":503,"outcome":"blocked","ms":0}
 )",
         log);
-    auto text = requestAccount(log, "r-4");
+    auto text = requestTimeline(log, "r-4");
     BOOST_TEST(contains(text, "the same request, as r-1, ended at i-1: broken"));
     BOOST_TEST(contains(text, "the same request, as r-2, ended at i-2: stream_broken"));
     BOOST_TEST(contains(text, "is blocked, after 3 endpoints ended under it"));
@@ -91,14 +91,14 @@
 {"time_ms":2000,"event":"request","instance":"n-1","request_id":"r-5","route":"read","team":"t","tries":0,"status":503,"outcome":"endpoints_rest","ms":0}
 )",
         log);
-    auto text = requestAccount(log, "r-5");
+    auto text = requestTimeline(log, "r-5");
     BOOST_TEST(contains(text, "i-2 turned the node away and wants nothing from it for 3000 ms"));
     for (const auto* other : { "i-1", "i-3", "i-4" })
         BOOST_TEST(!contains(text, other));
     BOOST_TEST(contains(text, "Cause: Every endpoint of the service that could run it had turned this node away"));
 }
 
-BOOST_AUTO_TEST_CASE(an_unknown_request_id_gives_an_empty_timeline) { BOOST_TEST(requestAccount(parsed(), "r-3").empty()); }
+BOOST_AUTO_TEST_CASE(an_unknown_request_id_gives_an_empty_timeline) { BOOST_TEST(requestTimeline(parsed(), "r-3").empty()); }
 
 BOOST_AUTO_TEST_CASE(a_refusal_due_to_advertised_limits_lists_the_limits)
 {
@@ -111,7 +111,7 @@
 {"time_ms":2500,"event":"endpoint_limit","instance":"n-2","request_id":"r-6","endpoint":"i-1","per_s":9.0}
 )",
         log);
-    auto text = requestAccount(log, "r-5", {});
+    auto text = requestTimeline(log, "r-5", {});
     BOOST_TEST(text.find("i-1 takes 0.5 a second") != std::string::npos);
     BOOST_TEST(text.find("i-2 takes") == std::string::npos);
     BOOST_TEST(text.find("9.0") == std::string::npos);
--- a/tests/modules/request/test_ledger.cpp
+++ b/tests/modules/request/test_ledger.cpp
@@ -1,5 +1,5 @@
 #include "modules/request/ledger.h"
-#include "modules/request/ledger_book.h"
+#include "modules/request/ledger_registry.h"
 #include "tests/property.h"
 
 using namespace Onyxnotch;
@@ -11,9 +11,9 @@
     return { .node = "home", .incarnation = 1, .sequence = sequence, .expiry = expiry, .mac = "c" };
 }
 
-LedgerBook makeLedgerBook(const std::string& node, std::uint64_t incarnation = 1, std::size_t entries = 100)
+LedgerRegistry makeLedgerBook(const std::string& node, std::uint64_t incarnation = 1, std::size_t entries = 100)
 {
-    return LedgerBook({ .node = node, .incarnation = incarnation, .ledger = { .maximumEntries = entries } });
+    return LedgerRegistry({ .node = node, .incarnation = incarnation, .ledger = { .maximumEntries = entries } });
 }
 
 } // namespace
@@ -130,7 +130,7 @@
 
 BOOST_AUTO_TEST_CASE(adopted_ledgers_are_bounded)
 {
-    LedgerBook successor({ .node = "successor", .incarnation = 1, .maximumAdoptedLedgers = 1 });
+    LedgerRegistry successor({ .node = "successor", .incarnation = 1, .maximumAdoptedLedgers = 1 });
     auto first = makeLedgerBook("first");
     auto second = makeLedgerBook("second");
     BOOST_CHECK(successor.adopt(first.startTransferAll(1)[0]).has_value());
--- a/tests/modules/rollout/test_rollout.cpp
+++ b/tests/modules/rollout/test_rollout.cpp
@@ -1,5 +1,5 @@
 #include "modules/balance/prefix_cache.h"
-#include "modules/rollout/answer_pace.h"
+#include "modules/rollout/answer_time_monitor.h"
 #include "modules/rollout/version_gate.h"
 #include "tests/modules/rollout/rollout_simulation.h"
 #include <boost/test/unit_test.hpp>
@@ -159,7 +159,7 @@
     return static_cast<double>(count) / requests;
 }
 
-VersionNews shareUpdate(double share, std::uint64_t at, const std::string& version = "v2", std::uint64_t orderedAt = 1)
+VersionUpdate shareUpdate(double share, std::uint64_t at, const std::string& version = "v2", std::uint64_t orderedAt = 1)
 {
     return { .shares = { { .service = "s", .version = version, .share = share, .orderedAt = orderedAt, .publishedAt = at } } };
 }
@@ -173,14 +173,14 @@
     BOOST_TEST(usableShare(gate, "v1", start) == 1);
     gate.onList(listOf(10, 10), start + Milliseconds(100));
     BOOST_TEST(usableShare(gate, "v2", start + Milliseconds(5000)) == 0);
-    gate.onNews(shareUpdate(0.1, 5));
+    gate.onPeerUpdate(shareUpdate(0.1, 5));
     BOOST_TEST(std::abs(usableShare(gate, "v2", start + Milliseconds(5000)) - 0.1) < 0.04);
     BOOST_TEST(gate.limitsFor("s", 0, start + Milliseconds(5000)).mostEndpoints == 1U);
-    gate.onNews(shareUpdate(1, 6));
+    gate.onPeerUpdate(shareUpdate(1, 6));
     BOOST_TEST(usableShare(gate, "v2", start + Milliseconds(6000)) == 1);
     BOOST_TEST(usableShare(gate, "v1", start + Milliseconds(6000)) == 0);
     // A late update with a share that was published earlier is ignored.
-    gate.onNews(shareUpdate(0.1, 5));
+    gate.onPeerUpdate(shareUpdate(0.1, 5));
     BOOST_TEST(usableShare(gate, "v2", start + Milliseconds(6000)) == 1);
 }
 
@@ -189,7 +189,7 @@
     VersionGate gate;
     gate.onList(listOf(10, 0), start);
     gate.onList(listOf(10, 10), start);
-    gate.onNews(shareUpdate(1, 5, ""));
+    gate.onPeerUpdate(shareUpdate(1, 5, ""));
     BOOST_TEST(usableShare(gate, "v2", start) == 1);
     BOOST_TEST(usableShare(gate, "v1", start) == 1);
     VersionGate unannounced;
@@ -212,54 +212,54 @@
     VersionGate gate;
     gate.onList(listOf(10, 0), start);
     gate.onList(listOf(10, 10), start);
-    VersionNews others = shareUpdate(0.1, 5);
+    VersionUpdate others = shareUpdate(0.1, 5);
     others.trials[{ .service = "s", .version = "v1", .route = "r" }] = { .sent = 500, .ended = 500, .good = 495, .bad = 5 };
-    gate.onNews(others);
+    gate.onPeerUpdate(others);
     BOOST_TEST(usableShare(gate, "v2", start) > 0);
     VersionRoute route { .service = "s", .version = "v2", .route = "r" };
     for (int n = 0; n < 12; ++n) {
         gate.onSent(route);
         gate.onEnd(route, n % 2 == 0, n % 2 == 1);
     }
-    gate.onNews(others);
+    gate.onPeerUpdate(others);
     BOOST_TEST(usableShare(gate, "v2", start) == 0);
     BOOST_TEST(gate.takeNewlyStopped().size() == 1U);
     BOOST_TEST(gate.takeNewlyStopped().empty());
     // A later order may roll out a fixed build under the same version name.
-    gate.onNews(shareUpdate(0.1, 9, "v2", 2));
+    gate.onPeerUpdate(shareUpdate(0.1, 9, "v2", 2));
     BOOST_TEST(usableShare(gate, "v2", start) > 0);
     // A version stopped by another node is stopped on this node, too.
-    gate.onNews({ .stopped = { { .service = "s", .version = "v2", .orderedAt = 2 } } });
+    gate.onPeerUpdate({ .stopped = { { .service = "s", .version = "v2", .orderedAt = 2 } } });
     BOOST_TEST(usableShare(gate, "v2", start) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(answers_that_take_several_times_as_long_are_slow)
 {
-    AnswerPace pace;
-    AnswerTimes usual { .firstSeconds = 0.3, .expectedSeconds = 0.25, .restSeconds = 1, .restEvents = 40 };
-    BOOST_TEST(!pace.isSlow("r", { .firstSeconds = 9 }));
+    AnswerTimeMonitor pace;
+    AnswerTimes usual { .secondsToFirstEvent = 0.3, .expectedSeconds = 0.25, .streamSeconds = 1, .streamEventCount = 40 };
+    BOOST_TEST(!pace.isSlow("r", { .secondsToFirstEvent = 9 }));
     for (int n = 0; n < 20; ++n)
         pace.observe("r", usual);
     BOOST_TEST(!pace.isSlow("r", usual));
     // A long prompt has a longer expected time.
-    BOOST_TEST(!pace.isSlow("r", { .firstSeconds = 1.2, .expectedSeconds = 1, .restSeconds = 1, .restEvents = 40 }));
-    BOOST_TEST(pace.isSlow("r", { .firstSeconds = 1.2, .expectedSeconds = 0.25, .restSeconds = 1, .restEvents = 40 }));
-    BOOST_TEST(pace.isSlow("r", { .firstSeconds = 0.3, .expectedSeconds = 0.25, .restSeconds = 4, .restEvents = 40 }));
-    BOOST_TEST(!pace.isSlow("r", { .firstSeconds = 0.3, .expectedSeconds = 0.25, .restSeconds = 1, .restEvents = 2 }));
+    BOOST_TEST(!pace.isSlow("r", { .secondsToFirstEvent = 1.2, .expectedSeconds = 1, .streamSeconds = 1, .streamEventCount = 40 }));
+    BOOST_TEST(pace.isSlow("r", { .secondsToFirstEvent = 1.2, .expectedSeconds = 0.25, .streamSeconds = 1, .streamEventCount = 40 }));
+    BOOST_TEST(pace.isSlow("r", { .secondsToFirstEvent = 0.3, .expectedSeconds = 0.25, .streamSeconds = 4, .streamEventCount = 40 }));
+    BOOST_TEST(!pace.isSlow("r", { .secondsToFirstEvent = 0.3, .expectedSeconds = 0.25, .streamSeconds = 1, .streamEventCount = 2 }));
 }
 
 BOOST_AUTO_TEST_CASE(the_latest_share_is_kept_and_trials_add_up)
 {
-    VersionNews sum = shareUpdate(0.1, 5);
-    addNews(sum, shareUpdate(0.5, 4));
+    VersionUpdate sum = shareUpdate(0.1, 5);
+    mergeUpdate(sum, shareUpdate(0.5, 4));
     BOOST_TEST(sum.shares[0].share == 0.1);
-    addNews(sum, shareUpdate(1, 6));
+    mergeUpdate(sum, shareUpdate(1, 6));
     BOOST_TEST(sum.shares[0].share == 1);
     BOOST_TEST(sum.shares.size() == 1U);
-    VersionNews trials;
+    VersionUpdate trials;
     trials.trials[{ .service = "s", .version = "v", .route = "r" }] = { .sent = 3, .ended = 2, .good = 1, .bad = 1 };
-    addNews(sum, trials);
-    addNews(sum, trials);
+    mergeUpdate(sum, trials);
+    mergeUpdate(sum, trials);
     BOOST_TEST(sum.trials.begin()->second.sent == 6U);
     BOOST_TEST(sum.trials.begin()->second.running() == 2U);
 }
--- a/tests/modules/suspects/suspect_simulation.h
+++ b/tests/modules/suspects/suspect_simulation.h
@@ -3,7 +3,7 @@
 // selected at random.
 #pragma once
 
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include <functional>
 #include <memory>
 #include <queue>
@@ -46,7 +46,7 @@
         for (unsigned n = 0; n < options.nodes; ++n) {
             auto book = options.book;
             book.node = "n" + std::to_string(n);
-            m_books.push_back(std::make_unique<SuspectBook>(book));
+            m_books.push_back(std::make_unique<SuspectTracker>(book));
             after(Milliseconds(m_random() % 250), [this, n] { sendPeriodicReport(n); });
         }
         for (unsigned n = 0; n < options.endpoints; ++n)
@@ -216,7 +216,7 @@
     {
         auto request = broken.request;
         scheduleNotice(broken.node);
-        if (request.endpointAttempts < 2 && m_books[broken.node]->maySendAgain(request.digest, m_now)) {
+        if (request.endpointAttempts < 2 && m_books[broken.node]->isRetryAllowed(request.digest, m_now)) {
             send(broken.node, request);
             return;
         }
@@ -235,7 +235,7 @@
 
     void scheduleNotice(unsigned node)
     {
-        if (m_books[node]->takeHasNews() && m_options.sendsNotices)
+        if (m_books[node]->takeHasUpdate() && m_options.sendsNotices)
             after(Milliseconds(20), [this, node] { sendReport(node, m_options.messageDelay); });
     }
 
@@ -252,13 +252,13 @@
 
     void sendReport(unsigned from, Milliseconds delay)
     {
-        auto news = std::make_shared<const SuspectNews>(m_books[from]->news(m_now));
+        auto news = std::make_shared<const SuspectUpdate>(m_books[from]->news(m_now));
         if (news->empty())
             return;
         for (unsigned to = 0; to < m_options.nodes; ++to) {
             if (to == from || isChosen(m_options.lossShare))
                 continue;
-            after(delay, [this, to, news] { m_books[to]->onNews(*news, m_now); });
+            after(delay, [this, to, news] { m_books[to]->onPeerUpdate(*news, m_now); });
         }
     }
 
@@ -271,7 +271,7 @@
     std::uint64_t m_lives { 0 };
     std::uint64_t m_unique { 0 };
     std::uint64_t m_numbers { 0 };
-    std::vector<std::unique_ptr<SuspectBook>> m_books {};
+    std::vector<std::unique_ptr<SuspectTracker>> m_books {};
     std::vector<Endpoint> m_endpoints {};
 };
 
--- a/tests/modules/suspects/test_suspect_book.cpp
+++ b/tests/modules/suspects/test_suspect_tracker.cpp
@@ -14,13 +14,13 @@
 constexpr RequestDigest other { .team = 7, .content = 71 };
 
 // Ends an endpoint incarnation while the request runs there.
-void endLife(SuspectBook& book, std::uint64_t life, SteadyTime now, const RequestDigest& digest = request)
+void endLife(SuspectTracker& book, std::uint64_t life, SteadyTime now, const RequestDigest& digest = request)
 {
     book.onSent(digest, life);
     book.onLost(digest, life, now);
 }
 
-void blockRequest(SuspectBook& book, SteadyTime now, const RequestDigest& digest = request)
+void blockRequest(SuspectTracker& book, SteadyTime now, const RequestDigest& digest = request)
 {
     for (std::uint64_t life = 1; life <= 3; ++life)
         endLife(book, life + digest.content * 100, now, digest);
@@ -82,25 +82,25 @@
 
 BOOST_AUTO_TEST_CASE(three_ended_incarnations_block_and_two_do_not)
 {
-    SuspectBook book;
+    SuspectTracker book;
     endLife(book, 1, start);
     BOOST_TEST(book.maySend(request, start));
-    BOOST_TEST(book.maySendAgain(request, start));
+    BOOST_TEST(book.isRetryAllowed(request, start));
     endLife(book, 2, start);
     BOOST_TEST(book.maySend(request, start));
-    BOOST_TEST(!book.maySendAgain(request, start)); // No second endpoint within one attempt of its client.
+    BOOST_TEST(!book.isRetryAllowed(request, start)); // No second endpoint within one attempt of its client.
     endLife(book, 2, start); // The same incarnation does not count twice.
     BOOST_TEST(book.maySend(request, start));
     endLife(book, 3, start);
     BOOST_TEST(!book.maySend(request, start));
     BOOST_TEST(book.maySend(other, start));
-    BOOST_TEST(book.blockedLeft(request, start).count() >= SuspectOptions {}.blockedFor.count());
+    BOOST_TEST(book.remainingBlockTime(request, start).count() >= SuspectOptions {}.blockedFor.count());
     BOOST_TEST(book.takeNewlyBlocked().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(suspected_request_runs_one_copy_at_a_time)
 {
-    SuspectBook book;
+    SuspectTracker book;
     endLife(book, 1, start);
     endLife(book, 2, start);
     book.onSent(request, 3);
@@ -112,7 +112,7 @@
 // Guards against a repeated report of an end that removes the entry of another running copy.
 BOOST_AUTO_TEST_CASE(repeated_end_counts_once)
 {
-    SuspectBook book;
+    SuspectTracker book;
     endLife(book, 1, start);
     book.onSent(request, 2);
     book.onSent(request, 3);
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(good_answer_clears_and_protects_for_its_validity)
 {
-    SuspectBook book;
+    SuspectTracker book;
     blockRequest(book, start);
     BOOST_TEST(!book.maySend(request, start));
     // An answer to a copy sent before the last end doesn't clear the request.
@@ -144,71 +144,71 @@
 
 BOOST_AUTO_TEST_CASE(reports_of_nodes_add_up_and_good_answer_overrides_them)
 {
-    SuspectBook first;
-    SuspectBook second;
-    SuspectBook third;
+    SuspectTracker first;
+    SuspectTracker second;
+    SuspectTracker third;
     third.onSent(request, 9);
     third.onAnswered(request, 9, start, start);
     endLife(first, 1, start);
     endLife(first, 2, start);
     endLife(second, 3, start);
-    second.onNews(first.news(start), start);
+    second.onPeerUpdate(first.news(start), start);
     BOOST_TEST(!second.maySend(request, start));
-    third.onNews(second.news(start), start);
+    third.onPeerUpdate(second.news(start), start);
     BOOST_TEST(third.maySend(request, start));
-    second.onNews(third.news(start), start);
+    second.onPeerUpdate(third.news(start), start);
     BOOST_TEST(second.maySend(request, start));
     // A node that doesn't know that the request was cleared repeats its old reports.
-    second.onNews(first.news(start), start);
+    second.onPeerUpdate(first.news(start), start);
     BOOST_TEST(second.maySend(request, start));
 }
 
 BOOST_AUTO_TEST_CASE(abandoned_request_is_suspected_if_its_endpoint_ends_soon)
 {
-    SuspectBook book;
+    SuspectTracker book;
     book.onSent(request, 1);
     book.onLeft(request, 1, start);
     endLife(book, 1, start + Milliseconds(1000), other);
-    BOOST_TEST(book.endedLives(request) == 1U);
+    BOOST_TEST(book.endedIncarnations(request) == 1U);
     // After `abandonedBlamePeriod`, the abandoned request is no longer suspected.
     book.onSent(request, 2);
     book.onLeft(request, 2, start);
     endLife(book, 2, start + SuspectOptions {}.abandonedBlamePeriod + Milliseconds(1), other);
-    BOOST_TEST(book.endedLives(request) == 1U);
+    BOOST_TEST(book.endedIncarnations(request) == 1U);
     // The removal of a silent endpoint is detected only after some heartbeats.
     book.onSent(request, 3);
     book.onLeft(request, 3, start);
-    book.onLifeGone(3, start + Milliseconds(3600));
-    BOOST_TEST(book.endedLives(request) == 2U);
+    book.onIncarnationRemoved(3, start + Milliseconds(3600));
+    BOOST_TEST(book.endedIncarnations(request) == 2U);
     // A copy that runs at a removed incarnation may still be answered; it counts only if it is abandoned there.
     book.onSent(request, 4);
-    book.onLifeGone(4, start + Milliseconds(3600));
-    BOOST_TEST(book.endedLives(request) == 2U);
+    book.onIncarnationRemoved(4, start + Milliseconds(3600));
+    BOOST_TEST(book.endedIncarnations(request) == 2U);
     book.onLeft(request, 4, start + Milliseconds(5000));
-    BOOST_TEST(book.endedLives(request) == 3U);
+    BOOST_TEST(book.endedIncarnations(request) == 3U);
     BOOST_TEST(!book.maySend(request, start + Milliseconds(5000)));
 }
 
 BOOST_AUTO_TEST_CASE(nodes_try_one_after_the_other_and_failed_trial_extends_block)
 {
-    SuspectBook first({ .node = "a" });
-    SuspectBook second({ .node = "b" });
+    SuspectTracker first({ .node = "a" });
+    SuspectTracker second({ .node = "b" });
     blockRequest(first, start);
-    second.onNews(first.news(start), start);
-    auto firstTrial = start + first.blockedLeft(request, start);
-    auto secondTrial = start + second.blockedLeft(request, start);
+    second.onPeerUpdate(first.news(start), start);
+    auto firstTrial = start + first.remainingBlockTime(request, start);
+    auto secondTrial = start + second.remainingBlockTime(request, start);
     BOOST_TEST((firstTrial != secondTrial));
     BOOST_TEST(first.maySend(request, firstTrial));
     endLife(first, 99, firstTrial);
     BOOST_TEST(!first.maySend(request, firstTrial));
-    BOOST_TEST(first.blockedLeft(request, firstTrial).count() >= 2 * SuspectOptions {}.blockedFor.count());
-    second.onNews(first.news(firstTrial), firstTrial);
-    BOOST_TEST(second.blockedLeft(request, firstTrial).count() >= 2 * SuspectOptions {}.blockedFor.count());
+    BOOST_TEST(first.remainingBlockTime(request, firstTrial).count() >= 2 * SuspectOptions {}.blockedFor.count());
+    second.onPeerUpdate(first.news(firstTrial), firstTrial);
+    BOOST_TEST(second.remainingBlockTime(request, firstTrial).count() >= 2 * SuspectOptions {}.blockedFor.count());
 }
 
 BOOST_AUTO_TEST_CASE(team_with_many_blocked_requests_evicts_its_own)
 {
-    SuspectBook book({ .mostBlocked = 64 });
+    SuspectTracker book({ .mostBlocked = 64 });
     blockRequest(book, start, other);
     for (std::uint64_t n = 0; n < 500; ++n)
         blockRequest(book, start + Milliseconds(n), { .team = 9, .content = 1000 + n });
@@ -219,13 +219,13 @@
 
 BOOST_AUTO_TEST_CASE(message_reports_requests_with_several_ends_first)
 {
-    SuspectNews news;
+    SuspectUpdate news;
     for (std::uint64_t n = 0; n < 500; ++n)
         news.reports.push_back({ .request = { .team = 1, .content = n }, .life = n });
     for (std::uint64_t n = 0; n < 2; ++n)
         news.reports.push_back({ .request = { .team = 2, .content = 9 }, .life = n });
-    limitNews(news);
-    BOOST_TEST(news.reports.size() == SuspectNewsLimits {}.reports);
+    truncateUpdate(news);
+    BOOST_TEST(news.reports.size() == SuspectUpdateLimits {}.reports);
     BOOST_TEST(news.reports.front().request.team == 2U);
 }
 
@@ -311,7 +311,7 @@
 
 BOOST_AUTO_TEST_CASE(ends_in_one_zone_within_a_moment_count_once)
 {
-    SuspectBook book;
+    SuspectTracker book;
     book.onSent(request, 99);
     book.onAnswered(request, 99, start, start);
     for (std::uint64_t life = 1; life <= 20; ++life) {
@@ -331,14 +331,14 @@
 // report of it.
 BOOST_AUTO_TEST_CASE(good_answer_clears_ends_before_it_was_sent)
 {
-    SuspectBook book;
-    SuspectBook receiver;
+    SuspectTracker book;
+    SuspectTracker receiver;
     book.onSent(request, 99);
     book.onAnswered(request, 99, start, start);
     auto end = [&](std::uint64_t life, Milliseconds at) {
         book.onSent(request, life, static_cast<std::uint16_t>(life));
         book.onLost(request, life, start + at);
-        receiver.onNews(book.news(start + at), start + at);
+        receiver.onPeerUpdate(book.news(start + at), start + at);
     };
     for (std::uint64_t life = 1; life <= 5; ++life)
         end(life, Milliseconds(100 * life));
@@ -360,35 +360,35 @@
 // to a trial removed only two of the three ends, and no other copies were sent that could remove the last.
 BOOST_AUTO_TEST_CASE(good_answer_on_trial_clears_everything)
 {
-    SuspectBook book({ .blockedFor = Milliseconds(10000) });
-    SuspectBook receiver({ .blockedFor = Milliseconds(10000) });
+    SuspectTracker book({ .blockedFor = Milliseconds(10000) });
+    SuspectTracker receiver({ .blockedFor = Milliseconds(10000) });
     for (std::uint64_t life = 1; life <= 3; ++life) {
         book.onSent(request, life, static_cast<std::uint16_t>(life));
         book.onLost(request, life, start + Milliseconds(10 * life));
     }
-    receiver.onNews(book.news(start + Milliseconds(40)), start + Milliseconds(40));
-    auto trial = start + Milliseconds(40) + book.blockedLeft(request, start + Milliseconds(40));
+    receiver.onPeerUpdate(book.news(start + Milliseconds(40)), start + Milliseconds(40));
+    auto trial = start + Milliseconds(40) + book.remainingBlockTime(request, start + Milliseconds(40));
     BOOST_REQUIRE(book.maySend(request, trial));
     book.onSent(request, 9, 1);
     book.onAnswered(request, 9, trial, trial + Milliseconds(100));
     BOOST_CHECK(book.verdict(request, trial + Milliseconds(100)) == SuspectVerdict::Free);
     BOOST_TEST(book.takeNewlyCleared().size() == 1U);
-    receiver.onNews(book.news(trial + Milliseconds(100)), trial + Milliseconds(110));
+    receiver.onPeerUpdate(book.news(trial + Milliseconds(100)), trial + Milliseconds(110));
     BOOST_CHECK(receiver.verdict(request, trial + Milliseconds(110)) == SuspectVerdict::Free);
 }
 
 // Three ends of a request that one node found are reported to a node that saw the request answered shortly before.
 BOOST_AUTO_TEST_CASE(known_good_report_lifts_block_of_three_ends)
 {
-    SuspectBook reporter;
-    SuspectBook witness;
+    SuspectTracker reporter;
+    SuspectTracker witness;
     witness.onSent(request, 99);
     witness.onAnswered(request, 99, start, start);
     blockRequest(reporter, start + Milliseconds(100));
     BOOST_TEST(!reporter.maySend(request, start + Milliseconds(100)));
-    witness.onNews(reporter.news(start + Milliseconds(100)), start + Milliseconds(100));
+    witness.onPeerUpdate(reporter.news(start + Milliseconds(100)), start + Milliseconds(100));
     BOOST_TEST(witness.maySend(request, start + Milliseconds(100)));
-    reporter.onNews(witness.news(start + Milliseconds(110)), start + Milliseconds(110));
+    reporter.onPeerUpdate(witness.news(start + Milliseconds(110)), start + Milliseconds(110));
     BOOST_TEST(reporter.maySend(request, start + Milliseconds(110)));
     BOOST_TEST(reporter.takeNewlyCleared().size() == 1U);
 }
--- a/tests/modules/traffic/test_marked_list.cpp
+++ b/tests/modules/traffic/test_draining_list.cpp
@@ -1,4 +1,4 @@
-#include "modules/traffic/marked_list.h"
+#include "modules/traffic/draining_list.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,12 +13,12 @@
     auto list = std::make_shared<EndpointList>();
     list->endpoints["a"] = { .id = "a", .born = 1 };
     list->endpoints["b"] = { .id = "b", .born = 1, .leaving = true };
-    auto marked = withLeaving(list, { { .id = "a", .born = 1 } });
+    auto marked = withDrainingEndpoints(list, { { .id = "a", .born = 1 } });
     BOOST_TEST(marked->endpoints.at("a").leaving);
     BOOST_TEST(!list->endpoints.at("a").leaving);
     // Another incarnation, an endpoint already marked as draining, and an endpoint that is not listed.
-    BOOST_TEST((withLeaving(list, { { .id = "a", .born = 2 }, { .id = "b", .born = 1 }, { .id = "c", .born = 1 } }) == list));
-    BOOST_TEST(!withLeaving(nullptr, { { .id = "a", .born = 1 } }));
+    BOOST_TEST((withDrainingEndpoints(list, { { .id = "a", .born = 2 }, { .id = "b", .born = 1 }, { .id = "c", .born = 1 } }) == list));
+    BOOST_TEST(!withDrainingEndpoints(nullptr, { { .id = "a", .born = 1 } }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/promises/test_asked_rest.cpp
+++ b/tests/promises/test_asked_rest.cpp
@@ -25,7 +25,7 @@
         BOOST_CHECK(refused.outcome == RequestOutcome::NotRun);
         BOOST_CHECK_GT(refused.retryAfter.count(), 10000);
     }
-    BOOST_CHECK_EQUAL(cluster.runsOf("refused"), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount("refused"), 1);
 }
 
 BOOST_AUTO_TEST_CASE(an_engine_gets_no_request_during_its_retry_after_and_others_serve)
--- a/tests/promises/test_at_most_once.cpp
+++ b/tests/promises/test_at_most_once.cpp
@@ -63,7 +63,7 @@
             BOOST_CHECK_MESSAGE(answer.outcome == RequestOutcome::Completed, answer.reason);
             BOOST_CHECK(answer.text.find(R"("ran":1)") != std::string::npos);
         }
-        BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+        BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
         // No copy was executed under another id either.
         BOOST_CHECK_EQUAL(cluster.serviceRuns().size(), round + 1);
     }
@@ -78,7 +78,7 @@
     BOOST_CHECK_EQUAL(stranger.callOnce(cluster.gateway(0).http, "release", "/release", "{}", ticketClient.ticket).httpStatus, 403);
     BOOST_CHECK_EQUAL(stranger.callOnce(cluster.gateway(1).http, "release", "/release", "{}", ticketClient.ticket).httpStatus, 403);
     BOOST_CHECK(ticketClient.send(cluster.gateway(0)).outcome == RequestOutcome::Completed);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(the_home_is_killed_and_a_new_process_starts_in_its_place)
@@ -88,7 +88,7 @@
     TicketClient ticketClient(cluster.gateway(0));
     setAnswersHeld(cluster, true);
     auto running = ticketClient.sendInBackground(cluster.gateway(0));
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(ticketClient.ticket) == 1; }));
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(ticketClient.ticket) == 1; }));
     cluster.gateway(0).process->kill();
     BOOST_CHECK(running.get().outcome == RequestOutcome::Unknown);
     BOOST_CHECK(ticketClient.send(cluster.gateway(1)).outcome == RequestOutcome::Unknown);
@@ -96,7 +96,7 @@
     setAnswersHeld(cluster, false);
     BOOST_CHECK(ticketClient.send(next).outcome == RequestOutcome::Unknown);
     BOOST_CHECK(waitUntil([&] { return ticketClient.send(cluster.gateway(1)).outcome == RequestOutcome::Unknown; }));
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(the_home_is_frozen_past_the_expiry_and_woken)
@@ -108,7 +108,7 @@
     TicketClient unused(home);
     setAnswersHeld(cluster, true);
     auto running = used.sendInBackground(home);
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(used.ticket) == 1; }));
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(used.ticket) == 1; }));
     auto issuedAt = steadyNow();
     BOOST_REQUIRE(home.process->freeze());
     // This request waits in the socket of the suspended home.
@@ -122,8 +122,8 @@
     BOOST_CHECK(waiting.get().outcome == RequestOutcome::Unknown);
     BOOST_CHECK(running.get().outcome == RequestOutcome::Completed);
     BOOST_CHECK(waitUntil([&] { return used.send(cluster.gateway(1)).outcome == RequestOutcome::Completed; }));
-    BOOST_CHECK_EQUAL(cluster.runsOf(used.ticket), 1);
-    BOOST_CHECK_EQUAL(cluster.runsOf(unused.ticket), 0);
+    BOOST_CHECK_EQUAL(cluster.executionCount(used.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(unused.ticket), 0);
 }
 
 BOOST_AUTO_TEST_CASE(the_home_is_cut_off_one_way)
@@ -133,12 +133,12 @@
     auto& home = cluster.gateway(0);
     TicketClient ticketClient(home);
     // The home still sends, but receives nothing from other nodes.
-    cluster.cutOff(home, true);
+    cluster.setPartitioned(home, true);
     BOOST_REQUIRE(cluster.waitMemberState(cluster.gateway(1), home.instance + ".gateway", "dead"));
     BOOST_CHECK(ticketClient.send(cluster.gateway(1)).outcome == RequestOutcome::Unknown);
     BOOST_CHECK(ticketClient.send(home).outcome == RequestOutcome::Completed);
     BOOST_CHECK(ticketClient.send(cluster.gateway(2)).outcome == RequestOutcome::Unknown);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(handover_and_repeats_race)
@@ -166,7 +166,7 @@
     for (const auto& it : ticketClients) {
         auto last = it->send(cluster.gateway(1));
         completed += last.outcome == RequestOutcome::Completed ? 1 : 0;
-        auto runs = cluster.runsOf(it->ticket);
+        auto runs = cluster.executionCount(it->ticket);
         BOOST_CHECK_LE(runs, 1);
         BOOST_CHECK(!(reportedNotRun[it->ticket] && runs > 0));
     }
@@ -195,8 +195,8 @@
         BOOST_CHECK(used.send(cluster.gateway(n)).outcome == RequestOutcome::Completed);
         BOOST_CHECK(unused.send(cluster.gateway(n)).outcome == RequestOutcome::Completed);
     }
-    BOOST_CHECK_EQUAL(cluster.runsOf(used.ticket), 1);
-    BOOST_CHECK_EQUAL(cluster.runsOf(unused.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(used.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(unused.ticket), 1);
     BOOST_CHECK_EQUAL(cluster.serviceRuns().size(), 2);
 }
 
@@ -212,7 +212,7 @@
     setAnswersHeld(cluster, false);
     auto repeat = ticketClient.send(cluster.gateway(2));
     BOOST_CHECK(repeat.outcome == RequestOutcome::Completed);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_in_flight_when_its_gateway_leaves)
@@ -224,7 +224,7 @@
     TicketClient notSent(home);
     setAnswersHeld(cluster, true);
     auto first = inFlight.sendInBackground(home);
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(inFlight.ticket) == 1; }));
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(inFlight.ticket) == 1; }));
     cluster.post(cluster.cloud(), "/control/reclaim", { { "instances", Json::array({ home.instance }) }, { "time_left_ms", 3000 } });
     BOOST_REQUIRE(home.process->waitEvent("ledgers_offered", longWait));
     // The call ends before the notice expires: the client receives its answer, and the successor receives the ledger entry.
@@ -233,8 +233,8 @@
     BOOST_CHECK_EQUAL(home.process->wait(longWait).value_or(-1), 0);
     BOOST_CHECK(inFlight.send(cluster.gateway(1)).outcome == RequestOutcome::Completed);
     BOOST_CHECK(notSent.send(cluster.gateway(1)).outcome == RequestOutcome::Completed);
-    BOOST_CHECK_EQUAL(cluster.runsOf(inFlight.ticket), 1);
-    BOOST_CHECK_EQUAL(cluster.runsOf(notSent.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(inFlight.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(notSent.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_outlasts_the_notice_is_unknown)
@@ -245,13 +245,13 @@
     TicketClient ticketClient(home);
     setAnswersHeld(cluster, true);
     auto running = ticketClient.sendInBackground(home);
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(ticketClient.ticket) == 1; }));
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(ticketClient.ticket) == 1; }));
     cluster.post(cluster.cloud(), "/control/reclaim", { { "instances", Json::array({ home.instance }) }, { "time_left_ms", 1500 } });
     BOOST_CHECK(running.get().outcome == RequestOutcome::Unknown);
     home.process->wait(longWait);
     BOOST_CHECK(ticketClient.send(cluster.gateway(1)).outcome == RequestOutcome::Unknown);
     setAnswersHeld(cluster, false);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 1);
 }
 
 BOOST_AUTO_TEST_CASE(an_expired_ticket)
@@ -263,7 +263,7 @@
     waitUntil([&] { return steadyNow() - issuedAt > Milliseconds(150); });
     BOOST_CHECK(ticketClient.send(cluster.gateway(0)).outcome == RequestOutcome::Unknown);
     BOOST_CHECK(ticketClient.send(cluster.gateway(1)).outcome == RequestOutcome::Unknown);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticketClient.ticket), 0);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticketClient.ticket), 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/promises/test_controllers.cpp
+++ b/tests/promises/test_controllers.cpp
@@ -65,7 +65,7 @@
                 return victim != nullptr;
             }));
             victim->kill();
-            BOOST_CHECK(cluster.waitEndpoints(3));
+            BOOST_CHECK(cluster.waitForEndpoints(3));
             auto counts = cloudCounts(cluster);
             BOOST_CHECK_EQUAL(counts.started, 3);
             BOOST_CHECK_EQUAL(counts.running, 3);
@@ -114,7 +114,7 @@
     auto first = cluster.get(cluster.cloud(), "/v1/instances")["instances"][0]["id"].get<std::string>();
     cluster.post(cluster.cloud(), "/control/reclaim", { { "instances", Json::array({ first }) }, { "time_left_ms", 500 } });
     BOOST_REQUIRE(waitUntil([&] { return cloudCounts(cluster).started == 4; }));
-    BOOST_CHECK(cluster.waitEndpoints(3));
+    BOOST_CHECK(cluster.waitForEndpoints(3));
 }
 
 // The lease holder is suspended until its lease has expired and another controller has taken it, then resumes. Its orders carry an outdated
@@ -131,18 +131,18 @@
             auto declaration = cluster.declaration(3);
             declaration["objects"].back()["spec"]["checksFences"] = checksFences;
             BOOST_REQUIRE_EQUAL(cluster.apply(declaration).exitCode, 0);
-            BOOST_REQUIRE(cluster.waitEndpoints(3));
+            BOOST_REQUIRE(cluster.waitForEndpoints(3));
             auto* first = leaseHolder(cluster);
             BOOST_REQUIRE(first);
             BOOST_REQUIRE(first->freeze());
             // The number of replicas is raised while the first holder is suspended.
             declaration["objects"].back()["spec"]["replicas"] = 5;
             BOOST_REQUIRE_EQUAL(cluster.apply(declaration).exitCode, 0);
-            BOOST_CHECK(cluster.waitEndpoints(5));
+            BOOST_CHECK(cluster.waitForEndpoints(5));
             first->thaw();
             declaration["objects"].back()["spec"]["replicas"] = 6;
             BOOST_REQUIRE_EQUAL(cluster.apply(declaration).exitCode, 0);
-            BOOST_CHECK(cluster.waitEndpoints(6));
+            BOOST_CHECK(cluster.waitForEndpoints(6));
             for (const auto& it : cluster.engines()) {
                 auto fences = fencesAt(cluster, it);
                 BOOST_CHECK(std::is_sorted(fences.begin(), fences.end()));
--- a/tests/promises/test_leaving_endpoint.cpp
+++ b/tests/promises/test_leaving_endpoint.cpp
@@ -88,7 +88,7 @@
 // How many requests the engine of that endpoint has started.
 long startedRequests(Cluster& cluster, const std::string& endpoint)
 {
-    return cluster.get(cluster.engineOf(endpoint)->address, "/control").value("started", 0L);
+    return cluster.get(cluster.findEngine(endpoint)->address, "/control").value("started", 0L);
 }
 
 // Milliseconds from `since` (wall clock) until the gateway logged that the endpoint is draining.
@@ -169,7 +169,7 @@
     Cluster cluster(options);
     BOOST_REQUIRE(cluster.deploy(6));
     for (std::size_t n = 0; n < cluster.gateways().size(); n += 2)
-        cluster.cutOff(cluster.gateway(n), true);
+        cluster.setPartitioned(cluster.gateway(n), true);
     BOOST_REQUIRE(cluster.waitMemberState(cluster.gateway(1), cluster.gateway(0).instance + ".gateway", "dead"));
     reclaimOneByOne(cluster, "mark, half of the nodes cut off");
 }
@@ -184,7 +184,7 @@
     auto endpoints = loadedEndpoints(cluster, cluster.gateway(0));
     std::vector<double> delays;
     auto since = wallMilliseconds();
-    cluster.post(cluster.engineOf(endpoints[0])->address, "/control", { { "leaving", true } });
+    cluster.post(cluster.findEngine(endpoints[0])->address, "/control", { { "leaving", true } });
     for (auto& gateway : cluster.gateways())
         delays.push_back(markDelay(*gateway, endpoints[0], since));
     report("mark, by the engine's report", delays);
--- a/tests/promises/test_not_run.cpp
+++ b/tests/promises/test_not_run.cpp
@@ -40,10 +40,10 @@
             BOOST_CHECK(answer.outcome == RequestOutcome::Unknown);
             // A repeat does not execute the request, and its outcome is not "not run" either.
             cluster.setFault(cluster.serviceForward(), Json::object());
-            auto before = cluster.runsOf(ticket);
+            auto before = cluster.executionCount(ticket);
             auto repeat = client.callOnce(home, "release", "/release", "{}", ticket);
             BOOST_CHECK(repeat.outcome == RequestOutcome::Unknown);
-            BOOST_CHECK_EQUAL(cluster.runsOf(ticket), before);
+            BOOST_CHECK_EQUAL(cluster.executionCount(ticket), before);
             bool wasExecuted = fault.contains("cut_down_after");
             BOOST_CHECK_EQUAL(before, wasExecuted ? 1 : 0);
         }
@@ -63,7 +63,7 @@
     cluster.post(cluster.service(), "/control", { { "refuse", false } });
     // The ticket is used up: a late copy is not executed.
     BOOST_CHECK(client.callOnce(home, "release", "/release", "{}", ticket).outcome == RequestOutcome::NotRun);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticket), 0);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticket), 0);
     cluster.plainService().kill();
     auto [second, sameHome] = ticketFrom(cluster.gateway(0));
     BOOST_CHECK(client.callOnce(sameHome, "release", "/release", "{}", second).outcome == RequestOutcome::NotRun);
@@ -81,7 +81,7 @@
     const auto& first = ticketAndHome.first;
     const auto& home = ticketAndHome.second;
     auto running = std::async(std::launch::async, [&] { return client.callOnce(home, "release", "/release", "{}", first); });
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(first) == 1; }));
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(first) == 1; }));
     auto [second, sameHome] = ticketFrom(cluster.gateway(0));
     auto sentAt = steadyNow();
     auto refused = client.callOnce(sameHome, "release", "/release", "{}", second);
@@ -96,8 +96,8 @@
     BOOST_CHECK(running.get().outcome == RequestOutcome::Completed);
     BOOST_CHECK(repeat.get().outcome == RequestOutcome::Completed);
     BOOST_CHECK(client.callOnce(sameHome, "release", "/release", "{}", second).outcome == RequestOutcome::NotRun);
-    BOOST_CHECK_EQUAL(cluster.runsOf(second), 0);
-    BOOST_CHECK_EQUAL(cluster.runsOf(first), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(second), 0);
+    BOOST_CHECK_EQUAL(cluster.executionCount(first), 1);
 }
 
 BOOST_AUTO_TEST_CASE(a_full_ledger_refuses_for_good)
@@ -114,7 +114,7 @@
     auto [ticket, home] = ticketFrom(cluster.gateway(0));
     auto refused = client.callOnce(home, "release", "/release", "{}", ticket);
     BOOST_CHECK(refused.outcome == RequestOutcome::NotRun);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticket), 0);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticket), 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_deadline_that_passes_during_execution_is_not_reported_as_not_run)
@@ -127,7 +127,7 @@
     cluster.post(cluster.service(), "/control", { { "hold", true } });
     auto [ticket, home] = ticketFrom(cluster.gateway(0));
     BOOST_CHECK(client.callOnce(home, "release", "/release", "{}", ticket).outcome == RequestOutcome::Unknown);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticket), 1);
     cluster.post(cluster.service(), "/control", { { "hold", false } });
 }
 
@@ -166,8 +166,8 @@
     cluster.post(cluster.service(), "/control", { { "hold", true } });
     const auto ticket = ticketFrom(cluster.gateway(0)).first;
     auto running = std::async(std::launch::async, [&] { return client.callOnce(home.http, "release", "/release", "{}", ticket); });
-    BOOST_REQUIRE(waitUntil([&] { return cluster.runsOf(ticket) == 1; }));
-    cluster.cutOff(home, true);
+    BOOST_REQUIRE(waitUntil([&] { return cluster.executionCount(ticket) == 1; }));
+    cluster.setPartitioned(home, true);
     // The first repeat is sent while the other node still considers the home alive, the second one when it considers the home dead.
     for (unsigned n = 0; n < 2; ++n) {
         auto repeat = client.callOnce(other.http, "release", "/release", "{}", ticket);
@@ -176,11 +176,11 @@
     }
     cluster.post(cluster.service(), "/control", { { "hold", false } });
     BOOST_CHECK(running.get().outcome == RequestOutcome::Completed);
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticket), 1);
-    cluster.cutOff(home, false);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticket), 1);
+    cluster.setPartitioned(home, false);
     // Once the connection is restored, the other node passes the repeat to the home again, and the client receives the home's answer.
     BOOST_CHECK(waitUntil([&] { return client.callOnce(other.http, "release", "/release", "{}", ticket).outcome == RequestOutcome::Completed; }));
-    BOOST_CHECK_EQUAL(cluster.runsOf(ticket), 1);
+    BOOST_CHECK_EQUAL(cluster.executionCount(ticket), 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/soak/soak_record.h
+++ b/tests/soak/soak_record.h
@@ -4,7 +4,7 @@
 
 #include "core/clock.h"
 #include "core/net/http_status.h"
-#include "tests/fakes/platform_stand_in.h"
+#include "tests/fakes/fake_platform.h"
 #include <map>
 #include <mutex>
 #include <optional>
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -62,7 +62,7 @@
     }
 
 private:
-    using Answer = Fakes::ScriptedAnswer;
+    using Answer = Fakes::ScriptedResponse;
     static constexpr auto crashingBody = "nothing survives this";
     static constexpr auto secretBody = "a secret of the caller ";
     static constexpr int streamEvents = 5;
@@ -212,7 +212,7 @@
     void runClient(unsigned client)
     {
         std::mt19937_64 random(m_options.seed * 1000 + client);
-        std::unique_ptr<RawCaller> connection;
+        std::unique_ptr<RawClient> connection;
         unsigned node = 0;
         for (unsigned n = 0; !m_stopping; ++n) {
             auto requestCount = randomNode(random);
@@ -221,7 +221,7 @@
             try {
                 // The client keeps its connection until the process closes it, and replaces it at random before one in 10 requests.
                 if (!connection || random() % 10 == 0) {
-                    connection = std::make_unique<RawCaller>(requestCount->address);
+                    connection = std::make_unique<RawClient>(requestCount->address);
                     node = requestCount->node;
                 }
                 if (!sendRequest(*connection, node, "c" + std::to_string(client) + "-" + std::to_string(n), random))
@@ -233,7 +233,7 @@
     }
 
     // Sends a request of a random kind, reads its answer and records the outcome. False if the connection cannot be reused.
-    bool sendRequest(RawCaller& connection, unsigned node, const std::string& id, std::mt19937_64& random)
+    bool sendRequest(RawClient& connection, unsigned node, const std::string& id, std::mt19937_64& random)
     {
         static constexpr std::array<std::pair<SoakRequestKind, const char*>, 4> kinds { { { SoakRequestKind::Once, "/once/a" }, { SoakRequestKind::Safe, "/safe/a" }, { SoakRequestKind::Stream, "/stream/a" }, { SoakRequestKind::Resumable, "/resume/a" } } };
         auto [kind, path] = kinds[random() % kinds.size()];
