--- a/core/deflate.cpp
+++ b/core/deflate.cpp
@@ -5,7 +5,7 @@
 
 namespace Onyxnotch {
 
-std::string deflated(std::string_view bytes)
+std::string compressText(std::string_view bytes)
 {
     std::string result(compressBound(bytes.size()), '\0');
     uLongf size = result.size();
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -215,7 +215,7 @@
         logEvent(LogLevel::Warning, "log_lines_dropped", { { "count", dropped } });
 }
 
-bool LogBudget::take(SteadyTime now)
+bool LogRateLimiter::take(SteadyTime now)
 {
     auto elapsed = std::chrono::duration<double>(now - m_updatedAt).count();
     m_updatedAt = now;
--- a/core/log.h
+++ b/core/log.h
@@ -59,7 +59,7 @@
 // Rate limiter for one kind of log line; counts the lines that were suppressed. Not thread-safe.
 class LogBudget {
 public:
-    explicit LogBudget(double linesPerSecond)
+    explicit LogRateLimiter(double linesPerSecond)
         : m_linesPerSecond(linesPerSecond)
         , m_availableLines(linesPerSecond)
     {
--- a/core/net/async_connection.cpp
+++ b/core/net/async_connection.cpp
@@ -38,7 +38,7 @@
 {
     asio::error_code ec;
     m_socket.set_option(asio::ip::tcp::no_delay(true), ec);
-    auto limit = static_cast<unsigned>(unacknowledgedLimit.count());
+    auto limit = static_cast<unsigned>(acknowledgementTimeout.count());
     ::setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
     m_socket.non_blocking(true, ec);
 }
@@ -148,7 +148,7 @@
 {
     auto self = shared_from_this();
     asio::error_code ec;
-    bytes.remove_prefix(writeNow(bytes, ec));
+    bytes.remove_prefix(writeWithoutBlocking(bytes, ec));
     if (ec || bytes.empty())
         co_return ec;
     beginOperation(deadline);
@@ -170,7 +170,7 @@
     co_return outcome(ec);
 }
 
-std::size_t AsyncConnection::writeNow(std::string_view bytes, asio::error_code& ec)
+std::size_t AsyncConnection::writeWithoutBlocking(std::string_view bytes, asio::error_code& ec)
 {
     if (!m_socket.is_open()) {
         ec = asio::error::bad_descriptor;
@@ -182,7 +182,7 @@
     return size;
 }
 
-bool AsyncConnection::isQuiet()
+bool AsyncConnection::isReusable()
 {
     char byte = 0;
     if (!m_socket.is_open() || !m_input.empty())
--- a/core/recent_most.h
+++ b/core/sliding_maximum.h
@@ -6,7 +6,7 @@
 
 namespace Onyxnotch {
 
-class RecentMost {
+class SlidingMaximum {
 public:
     // Adds a value observed at `now` and returns the largest value observed since `now - window`. `now` must not decrease between calls.
     unsigned take(unsigned value, SteadyTime now, Milliseconds window)
--- a/core/utf8.cpp
+++ b/core/utf8.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-std::string readableText(std::string text)
+std::string sanitizeUtf8(std::string text)
 {
     auto validEnd = validUntil(text, 0);
     if (validEnd == text.size())
--- a/tests/core/test_utf8.cpp
+++ b/tests/core/test_utf8.cpp
@@ -22,8 +22,8 @@
 BOOST_AUTO_TEST_CASE(sanitized_text_can_be_stored_in_a_json_document)
 {
     Tests::checkProperty("a parser takes it", [](const std::string& bytes) {
-        auto text = readableText(bytes);
-        RC_ASSERT(readableText(text) == text);
+        auto text = sanitizeUtf8(bytes);
+        RC_ASSERT(sanitizeUtf8(text) == text);
         RC_ASSERT(nlohmann::json::parse(nlohmann::json(text).dump()) == text);
     });
 }
--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -4,9 +4,9 @@
 #include "core/net/frame.h"
 #include "core/utf8.h"
 #include "modules/control/endpoint_history.h"
-#include "modules/peers/group_sum.h"
+#include "modules/peers/group_aggregate.h"
 #include "modules/peers/limit_messages.h"
-#include "modules/suspects/suspect_book.h"
+#include "modules/suspects/suspect_tracker.h"
 #include "platform/decoders.h"
 #include "platform/store_pages.h"
 #include <cstdlib>
@@ -58,7 +58,7 @@
 {
     (void)Platform::decodeListPage(bytes);
     (void)Platform::decodeChanges(bytes);
-    auto document = nlohmann::json::parse(readableText(bytes), nullptr, false);
+    auto document = nlohmann::json::parse(sanitizeUtf8(bytes), nullptr, false);
     if (document.is_discarded())
         return;
     (void)Platform::decodeEndpoint("i", document);
@@ -77,7 +77,7 @@
     book.onNews(news, now);
     require(book.blockedRequests() <= maximumEntries);
     (void)book.news(now);
-    book.forgetOld(now + std::chrono::hours(48));
+    book.purgeExpired(now + std::chrono::hours(48));
 }
 
 // Arbitrary data received from a peer must not make EndpointLimits exceed its size limits, or delay credits by more than one hour.
@@ -92,26 +92,26 @@
         (void)limits.take(it.endpoint, 1, now);
         require(limits.creditAt(it.endpoint, now) - now <= std::chrono::hours(1));
     }
-    limits.forgetOld(
+    limits.purgeExpired(
         0, [](const auto&) { return false; }, now);
 }
 
 void checkMessages(const std::string& bytes)
 {
-    for (auto type : { MessageType::PeerRow, MessageType::ZoneSum, MessageType::PrefillNotice, MessageType::UsageNotice, MessageType::SuspectNotice, MessageType::LimitNews, MessageType::CreditAsk, MessageType::CreditAnswer, MessageType::CreditReturn }) {
+    for (auto type : { MessageType::PeerRow, MessageType::ZoneAggregate, MessageType::PrefillNotice, MessageType::UsageNotice, MessageType::SuspectNotice, MessageType::LimitUpdate, MessageType::CreditRequest, MessageType::CreditAnswer, MessageType::CreditReturn }) {
         Frame frame { .type = type, .payload = bytes };
-        if (auto sum = unpackMessage<GroupSum>(type, frame))
+        if (auto sum = unpackMessage<GroupAggregate>(type, frame))
             (void)sum.value().isSound();
         (void)unpackMessage<PeerMessage>(type, frame);
         (void)unpackMessage<PrefillNotice>(type, frame);
         (void)unpackMessage<UsageNotice>(type, frame);
-        if (auto news = unpackMessage<LimitNews>(type, frame))
+        if (auto news = unpackMessage<LimitUpdate>(type, frame))
             checkLimits(news.value());
-        if (auto ask = unpackMessage<CreditAsk>(type, frame))
+        if (auto ask = unpackMessage<CreditRequest>(type, frame))
             (void)ask.value().isSound();
         (void)unpackMessage<CreditAnswer>(type, frame);
         (void)unpackMessage<CreditReturn>(type, frame);
-        if (auto news = unpackMessage<SuspectNews>(type, frame))
+        if (auto news = unpackMessage<SuspectUpdate>(type, frame))
             checkSuspects(news.value());
     }
     (void)decodeFrame(bytes);
--- a/tests/harness/entry_site.h
+++ b/tests/harness/entry_site.h
@@ -1,8 +1,8 @@
 // Test site for onyxnotch-entry: real entry processes with a fake platform and fake endpoints.
 #pragma once
 
+#include "tests/fakes/fake_platform.h"
 #include "tests/fakes/own_loopback.h"
-#include "tests/fakes/platform_stand_in.h"
 #include "tests/fakes/scripted_endpoint.h"
 #include "tests/harness/process.h"
 #include <filesystem>
@@ -23,7 +23,7 @@
 // A client connection on which a test sends raw bytes.
 class RawCaller {
 public:
-    explicit RawCaller(const Address& address)
+    explicit RawClient(const Address& address)
         : m_socket(m_context)
     {
         m_socket.connect({ asio::ip::make_address(address.host), address.port });
@@ -91,7 +91,7 @@
         std::filesystem::remove_all(m_folder);
     }
 
-    Fakes::PlatformStandIn& platform() { return m_platform; }
+    Fakes::FakePlatform& platform() { return m_platform; }
 
     // Configuration with these routes: /once/ at most once, /safe/ idempotent with two attempts, /stream/ and /resume/ for streams (only
     // /resume/ is resumable), /public/ without an API key.
@@ -165,7 +165,7 @@
     // Sends one request on a new connection and returns the response.
     static RawCaller::Answer ask(const Address& address, const std::string& bytes)
     {
-        RawCaller caller(address);
+        RawClient caller(address);
         caller.send(bytes);
         return caller.read();
     }
@@ -174,7 +174,7 @@
     static inline int siteNumber = 0;
 
     std::filesystem::path m_folder;
-    Fakes::PlatformStandIn m_platform {};
+    Fakes::FakePlatform m_platform {};
     std::vector<std::unique_ptr<Fakes::ScriptedEndpoint>> m_endpoints {};
     std::vector<std::unique_ptr<EntryProcess>> m_nodes {};
 };
