--- a/core/deflate.cpp
+++ b/core/deflate.cpp
@@ -14,7 +14,7 @@
     return result;
 }
 
-Result<std::string> inflated(std::string_view bytes, std::size_t maximumBytes)
+Result<std::string> decompressText(std::string_view bytes, std::size_t maximumBytes)
 {
     constexpr std::size_t initialExpansionFactor = 8;
     auto capacity = std::min(maximumBytes, std::max<std::size_t>(bytes.size(), 1) * initialExpansionFactor);
--- a/core/log.cpp
+++ b/core/log.cpp
@@ -228,7 +228,7 @@
     return true;
 }
 
-unsigned long LogBudget::takeLeftOut() { return std::exchange(m_suppressed, 0); }
+unsigned long LogRateLimiter::takeSuppressedCount() { return std::exchange(m_suppressed, 0); }
 
 LogLevel parseLogLevel(std::string_view text)
 {
--- a/core/log.h
+++ b/core/log.h
@@ -57,7 +57,7 @@
 void flushLog();
 
 // Rate limiter for one kind of log line; counts the lines that were suppressed. Not thread-safe.
-class LogBudget {
+class LogRateLimiter {
 public:
     explicit LogRateLimiter(double linesPerSecond)
         : m_linesPerSecond(linesPerSecond)
@@ -68,7 +68,7 @@
     // Consumes budget for one line. Returns false if the line should be suppressed.
     bool take(SteadyTime now);
     // Returns the number of lines suppressed since the last call, and resets it.
-    unsigned long takeLeftOut();
+    unsigned long takeSuppressedCount();
 
 private:
     double m_linesPerSecond;
--- a/core/net/async_connection.h
+++ b/core/net/async_connection.h
@@ -17,7 +17,7 @@
 
 // A connection fails if sent data is not acknowledged for this long (TCP_USER_TIMEOUT), so that a peer that lost power is detected. Long
 // enough for a few retransmissions on a lossy link, and shorter than any client deadline.
-constexpr Milliseconds unacknowledgedLimit { 3000 };
+constexpr Milliseconds acknowledgementTimeout { 3000 };
 
 class AsyncConnection : public std::enable_shared_from_this<AsyncConnection> {
 public:
@@ -36,12 +36,12 @@
     asio::awaitable<asio::error_code> waitWritableOrReadable(SteadyTime deadline);
     // Writes as much as the socket accepts without blocking and returns the number of bytes written. The caller sends the remainder with
     // write().
-    std::size_t writeNow(std::string_view, asio::error_code&);
+    std::size_t writeWithoutBlocking(std::string_view, asio::error_code&);
 
     // Received bytes. The caller removes the ones it has processed.
     std::string& input() { return m_input; }
     // True if the connection is open and has no unread data or end of stream, so that it can be reused for another request.
-    bool isQuiet();
+    bool isReusable();
 
     // Calls `onPeerClosed` once when the peer closes or resets the connection. Data received in the meantime is appended to input(); when
     // input() reaches a size limit, watching stops. read() must not be called before unwatch().
--- a/core/net/frame.h
+++ b/core/net/frame.h
@@ -32,11 +32,11 @@
     PeerRow = 13,
     PrefillNotice = 14,
     UsageNotice = 15,
-    ZoneSum = 16, // Aggregate state of one zone, from a relay node of that zone to the relay nodes of the other zones.
-    FleetSum = 17, // Aggregate state of all zones, from a relay node to the nodes of its zone.
+    ZoneAggregate = 16, // Aggregate state of one zone, from a relay node of that zone to the relay nodes of the other zones.
+    FleetAggregate = 17, // Aggregate state of all zones, from a relay node to the nodes of its zone.
     SuspectNotice = 18, // Endpoints that have just ended while executing requests, and the requests suspected of causing it.
-    LimitNews = 19, // Limits advertised by endpoints, and the use of credits for them.
-    CreditAsk = 20, // Request to a relay node for credits to send requests to an endpoint with an advertised limit.
+    LimitUpdate = 19, // Limits advertised by endpoints, and the use of credits for them.
+    CreditRequest = 20, // Request to a relay node for credits to send requests to an endpoint with an advertised limit.
     CreditAnswer = 21,
     CreditReturn = 22,
 };
--- a/core/net/http_message.h
+++ b/core/net/http_message.h
@@ -44,7 +44,7 @@
     std::function<void(const HttpStreamWriter&)> stream {};
     // Released once the complete response has been passed to the operating system, or writing it has failed. Lets a process that shuts down
     // wait for responses that it would otherwise truncate.
-    std::shared_ptr<void> untilWritten {};
+    std::shared_ptr<void> releasedWhenWritten {};
 };
 
 } // namespace Onyxnotch
--- a/core/net/http_server.cpp
+++ b/core/net/http_server.cpp
@@ -13,7 +13,7 @@
     constexpr std::size_t requestsPerConnection = 100000;
     constexpr int listenBacklog = 1024;
 
-    // HttpResponse::untilWritten of the response that this thread is writing. The library uses one thread per connection.
+    // HttpResponse::releasedWhenWritten of the response that this thread is writing. The library uses one thread per connection.
     thread_local std::shared_ptr<void> resourceUntilWritten;
 
     HttpRequest fromLibrary(const httplib::Request& source)
@@ -30,7 +30,7 @@
 
     void toLibrary(HttpResponse response, httplib::Response& target)
     {
-        resourceUntilWritten = std::move(response.untilWritten);
+        resourceUntilWritten = std::move(response.releasedWhenWritten);
         target.status = response.status;
         for (const auto& [name, value] : response.headers)
             target.set_header(name, value);
--- a/core/net/http_status.h
+++ b/core/net/http_status.h
@@ -25,12 +25,12 @@
 constexpr int gatewayTimeout = 504;
 
 // True for status codes by which onyxnotch guarantees its clients that a request has not been and will not be executed.
-constexpr bool promisesNotRun(int status)
+constexpr bool guaranteesNotExecuted(int status)
 {
     return status == requestTimeout || status == misdirected || status == tooManyRequests || status == serviceUnavailable;
 }
 
 // True for status codes by which an endpoint refuses a request because of its own state, not because of the content of the request.
-constexpr bool turnsAway(int status) { return status == tooManyRequests || status == serviceUnavailable; }
+constexpr bool isRefusalStatus(int status) { return status == tooManyRequests || status == serviceUnavailable; }
 
 } // namespace Onyxnotch::HttpStatus
--- a/core/utf8.cpp
+++ b/core/utf8.cpp
@@ -50,7 +50,7 @@
         sanitized.append(text, begin, validEnd - begin);
         if (validEnd == text.size())
             break;
-        sanitized += unreadableMark;
+        sanitized += replacementCharacter;
         begin = validEnd + 1;
         validEnd = validUntil(text, begin);
     }
--- a/core/utf8.h
+++ b/core/utf8.h
@@ -7,9 +7,9 @@
 namespace Onyxnotch {
 
 // The Unicode replacement character (U+FFFD), which replaces invalid bytes.
-constexpr std::string_view unreadableMark = "\xEF\xBF\xBD";
+constexpr std::string_view replacementCharacter = "\xEF\xBF\xBD";
 
-// Replaces each byte that is not part of a valid UTF-8 sequence by `unreadableMark`. Valid text is returned unchanged.
-std::string readableText(std::string text);
+// Replaces each byte that is not part of a valid UTF-8 sequence by `replacementCharacter`. Valid text is returned unchanged.
+std::string sanitizeUtf8(std::string text);
 
 } // namespace Onyxnotch
--- a/tests/core/net/test_http_server.cpp
+++ b/tests/core/net/test_http_server.cpp
@@ -23,7 +23,7 @@
     server.route("GET", "/large", [&](const HttpRequest&) {
         auto token = std::make_shared<int>(0);
         handlerRan.set_value(token);
-        return HttpResponse { .body = std::string(bodyBytes, 'x'), .untilWritten = token };
+        return HttpResponse { .body = std::string(bodyBytes, 'x'), .releasedWhenWritten = token };
     });
     BOOST_REQUIRE(server.start());
     asio::io_context context;
--- a/tests/core/test_deflate.cpp
+++ b/tests/core/test_deflate.cpp
@@ -11,14 +11,14 @@
 {
     constexpr std::size_t maximumBytes = 1U << 20U;
     Tests::checkProperty("any bytes", [](const std::string& bytes) {
-        RC_ASSERT(inflated(deflated(bytes), maximumBytes).value() == bytes);
+        RC_ASSERT(decompressText(compressText(bytes), maximumBytes).value() == bytes);
     });
     std::string list;
     for (int n = 0; n < 1000; ++n)
         list += R"({"service":"s","address":"10.0.0.)" + std::to_string(n) + R"(:80","state":"ready"},)";
     auto compressed = compressText(list);
     BOOST_TEST(compressed.size() * 8 < list.size());
-    BOOST_TEST(inflated(compressed, maximumBytes).value() == list);
+    BOOST_TEST(decompressText(compressed, maximumBytes).value() == list);
 }
 
 BOOST_AUTO_TEST_CASE(invalid_and_too_long_text_is_rejected)
--- a/tests/fakes/scripted_endpoint.h
+++ b/tests/fakes/scripted_endpoint.h
@@ -14,7 +14,7 @@
 namespace Onyxnotch::Fakes {
 
 // Response to one request: the bytes to send, then what to do with the connection.
-struct ScriptedAnswer {
+struct ScriptedResponse {
     enum class Ending {
         Keep,
         Close,
--- a/tests/fuzz/fuzz_documents.cpp
+++ b/tests/fuzz/fuzz_documents.cpp
@@ -68,26 +68,26 @@
     (void)history.apply(document);
 }
 
-// Arbitrary data received from a peer must not make a SuspectBook exceed its size limits.
-void checkSuspects(const SuspectNews& news)
+// Arbitrary data received from a peer must not make a SuspectTracker exceed its size limits.
+void checkSuspects(const SuspectUpdate& news)
 {
     constexpr std::size_t maximumEntries = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    SuspectBook book({ .mostSuspects = maximumEntries, .mostBlocked = maximumEntries });
-    book.onNews(news, now);
+    SuspectTracker book({ .mostSuspects = maximumEntries, .mostBlocked = maximumEntries });
+    book.onPeerUpdate(news, now);
     require(book.blockedRequests() <= maximumEntries);
     (void)book.news(now);
     book.purgeExpired(now + std::chrono::hours(48));
 }
 
 // Arbitrary data received from a peer must not make EndpointLimits exceed its size limits, or delay credits by more than one hour.
-void checkLimits(const LimitNews& news)
+void checkLimits(const LimitUpdate& news)
 {
     constexpr std::size_t maximumEntries = 16;
     constexpr SteadyTime now { std::chrono::hours(1) };
-    EndpointLimits limits({ .words = { .most = maximumEntries }, .wordsTold = maximumEntries }, 1);
-    limits.onNews(news, 1000000, now);
-    require(limits.limited() <= maximumEntries && limits.takeWordsTold().size() <= maximumEntries);
+    EndpointLimits limits({ .words = { .most = maximumEntries }, .limitsPerMessage = maximumEntries }, 1);
+    limits.onPeerUpdate(news, 1000000, now);
+    require(limits.limited() <= maximumEntries && limits.limitsToSend().size() <= maximumEntries);
     for (const auto& it : news.words) {
         (void)limits.take(it.endpoint, 1, now);
         require(limits.creditAt(it.endpoint, now) - now <= std::chrono::hours(1));
@@ -127,7 +127,7 @@
     checkList(bytes);
     checkDocuments(bytes);
     checkMessages(bytes);
-    auto text = inflated(bytes, maximumInflatedBytes);
+    auto text = decompressText(bytes, maximumInflatedBytes);
     require(!text || text.value().size() <= maximumInflatedBytes);
     return 0;
 }
--- a/tests/golden/test_session.cpp
+++ b/tests/golden/test_session.cpp
@@ -120,7 +120,7 @@
     runCommand({ "check", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
     runCommand({ "apply", cluster.writeFile("good.json", cluster.declaration(1).dump(2)), "--objects", cluster.objects().text() });
     runCommand({ "get", "Service", "--objects", cluster.objects().text() });
-    BOOST_REQUIRE(cluster.waitEndpoints(1));
+    BOOST_REQUIRE(cluster.waitForEndpoints(1));
     call("GET /v1/addresses with an unknown key", { .path = "/v1/addresses", .headers = { { "Authorization", "Bearer nobody" } } }, { "onyxnotch-outcome" });
     auto addresses = call("GET /v1/addresses?tickets=1", { .path = "/v1/addresses?tickets=1", .headers = { { "Authorization", authorization() } } });
     auto ticket = Json::parse(addresses.body)["tickets"][0]["ticket"].get<std::string>();
--- a/tests/harness/cluster.h
+++ b/tests/harness/cluster.h
@@ -72,7 +72,7 @@
     // Applies declaration(replicas) and waits until each gateway reports this number of loaded endpoints. Returns false on failure.
     bool deploy(unsigned replicas);
     // Waits until each gateway reports at least `count` endpoints with a loaded model that are not draining.
-    bool waitEndpoints(unsigned count);
+    bool waitForEndpoints(unsigned count);
 
     Client client(const std::string& key = teamKey) const;
     Json status(const GatewayProcess&) const;
@@ -87,14 +87,14 @@
     void setFault(const ForwardedPort&, const Json& fault) const;
     // Blocks all new connections and datagrams to a gateway that use the proxy, or unblocks them. Connections that bypass the proxy and use
     // the own ports of the gateway still work.
-    void cutOff(const GatewayProcess&, bool cut) const;
+    void setPartitioned(const GatewayProcess&, bool cut) const;
     ForwardedPort addForwardedPort(const std::string& kind, const Address& target = {}) const;
 
     GatewayProcess& gateway(std::size_t n) { return *m_gateways.at(n); }
     std::vector<std::unique_ptr<GatewayProcess>>& gateways() { return m_gateways; }
     std::vector<EngineProcess>& engines() { return m_engines; }
     // The engine process behind a cloud instance id; nullptr if there is none.
-    EngineProcess* engineOf(const std::string& endpoint);
+    EngineProcess* findEngine(const std::string& endpoint);
     std::vector<std::unique_ptr<Process>>& controllers() { return m_controllers; }
     Process& plainService() { return *m_plainService; }
     const Address& objects() const { return m_objects; }
@@ -104,7 +104,7 @@
     std::string writeFile(const std::string& name, const std::string& text) const;
     std::map<std::string, long> serviceRuns() const;
     // Number of times the plain service has executed a request.
-    long runsOf(const std::string& requestId) const;
+    long executionCount(const std::string& requestId) const;
 
 private:
     void startPlatform();
--- a/tests/harness/entry_site.h
+++ b/tests/harness/entry_site.h
@@ -21,7 +21,7 @@
 };
 
 // A client connection on which a test sends raw bytes.
-class RawCaller {
+class RawClient {
 public:
     explicit RawClient(const Address& address)
         : m_socket(m_context)
@@ -163,7 +163,7 @@
     }
 
     // Sends one request on a new connection and returns the response.
-    static RawCaller::Answer ask(const Address& address, const std::string& bytes)
+    static RawClient::Answer ask(const Address& address, const std::string& bytes)
     {
         RawClient caller(address);
         caller.send(bytes);
