--- a/modules/peers/group_aggregate.h
+++ b/modules/peers/group_aggregate.h
@@ -75,7 +75,7 @@
     std::vector<PeerContact> dutyHolders {};
     std::vector<FormerDutyHolder> formerDutyHolders {};
     std::string firstCandidate {}; // First node by name that may take the singleton duties. Empty if there is none.
-    DocumentSource endpoints {}; // The list of endpoints.
+    DocumentSource endpoints {}; // The list of endpoints. The version is counted at a node that follows the store.
     DocumentSource configuration {};
     std::vector<StoreWatcher> watchers {}; // The first ones of each zone by name.
     std::map<ShortName, std::uint32_t> counted {}; // For each included node of the relay node's zone, the sequence of its row.
--- a/modules/peers/peer_exchange.h
+++ b/modules/peers/peer_exchange.h
@@ -23,7 +23,8 @@
     std::string zone {};
     // Maximum number of nodes of this node's zone that each row is sent to: traffic inside a zone is free.
     std::size_t ownZoneFanOut { 32 };
-    // Maximum number of nodes of other zones that each row is sent to, chosen at random each time.
+    // Maximum number of nodes of other zones that each row is sent to, chosen at random each time. With at most eight nodes in other zones
+    // each row reaches all of them.
     std::size_t otherZonesFanOut { 8 };
     // Maximum number of receivers of the first row after a start (sendToAllKnown(), at most about 100 KB per incarnation) and of messages to
     // every node. In a larger fleet the other nodes receive that state later.
