--- a/core/net/retry_after.h
+++ b/core/net/retry_after.h
@@ -8,7 +8,7 @@
 namespace Onyxnotch {
 
 // Larger values are reduced to this, so that no received value can overflow a duration.
-constexpr Milliseconds maximumRetryAfter { std::chrono::hours(24) };
+constexpr Milliseconds maximumParsedRetryAfter { std::chrono::hours(24) };
 
 // Parses a number of seconds, optionally with a fraction, and rounds it up to milliseconds. Returns an empty value for anything else,
 // including negative numbers and dates. Dates are not supported because the clock of the sender may differ from the local one.
