--- a/modules/balance/first_event_model.h
+++ b/modules/balance/first_event_model.h
@@ -8,7 +8,9 @@
     // Assumed until requests were observed: a slow engine, so that the first estimate errs towards more endpoints.
     double initialFixedSeconds { 0.02 };
     double initialSecondsPerToken { 1.0 / 40000 };
-    double initialTokensDifference { 10000 }; // Prompt-length difference of the two assumed observations.
+    // The fit starts from two invented observations that have exactly the assumed times: one of a prompt without uncached tokens and one of
+    // a prompt with this number of uncached tokens. Each has half of `initialWeight`.
+    double initialTokensDifference { 10000 };
     double initialWeight { 4 }; // Weight of the assumed values, in observations.
     double decayPerObservation { 0.98 }; // Factor on the weight of all earlier observations at each new one: about fifty are effective.
     unsigned trustedAfter { 20 }; // Observations; from then on the assumed values contribute at most a sixth of the weight.
--- a/modules/forward/attempt_tracker.h
+++ b/modules/forward/attempt_tracker.h
@@ -55,8 +55,9 @@
     void onSend();
     // Call when an attempt has ended, whether or not onSend() was called for it.
     void onEnd(AttemptOutcome);
-    // Whether another attempt is allowed after the last one. `acquireRetry` takes one retry from the budget and returns false if there is
-    // none; it is called only where the retry has to be charged.
+    // Whether another attempt is allowed after the last one. `acquireRetry` takes one retry from the service's retry budget and returns
+    // false if there is none. It is called only for a retry that is otherwise allowed, and only if the last attempt sent bytes to an
+    // endpoint, including an attempt that the endpoint reported as not executed. A retry after an attempt that sent no byte is free.
     bool mayRetry(const std::function<bool()>& acquireRetry);
     // How the request ends for the client. `streamStarted`: a part of a stream has been passed on.
     FinalResponse finalResponse(bool streamStarted) const;
--- a/modules/limits/team_limits.h
+++ b/modules/limits/team_limits.h
@@ -24,7 +24,9 @@
     // debt.
     double smallRequestShare { 0.01 };
     double smallDebtSeconds { 0.75 };
-    double maximumDebtSeconds { 8 }; // Maximum debt after an overshoot, in seconds of the rate.
+    // Maximum debt, in seconds of the rate. The level falls below zero because an admitted request is charged in full even if it exceeds
+    // the level, and because requests that peers admitted are charged only afterwards. Debt beyond the maximum is dropped.
+    double maximumDebtSeconds { 8 };
 };
 
 class TeamLimits {
--- a/modules/peers/fleet_relay.h
+++ b/modules/peers/fleet_relay.h
@@ -30,7 +30,10 @@
     Milliseconds startTime { 2000 };
     Milliseconds freshFor { 1500 }; // Maximum age of rows and aggregates: six gossip periods. Senders of older ones count as silent.
     Milliseconds silentFor { 20000 }; // A node silent for longer counts as removed and gets no share of the teams' limits.
-    std::size_t contactsPerAggregate { 4 }; // Enough to send the contacts of a zone of 50 nodes to all within about five seconds.
+    // Number of randomly chosen nodes whose contacts a relay node adds to each aggregate. Enough for the contacts of a zone of 50 nodes to
+    // reach all receivers of its aggregates within about five seconds: the nodes of its own zone that use it as relay node, and the relay
+    // nodes of the other zones.
+    std::size_t contactsPerAggregate { 4 };
     std::size_t watchersPerAggregate { 4 }; // Nodes of one zone with a working watch on the store that its zone aggregate lists.
     // Endpoint loads in one aggregate, at eight bytes each: two kilobytes. Without a limit, 3,000 endpoints took 24 KB in each aggregate,
     // and a relay node with 75 nodes in its zone sent 3.6 MB a second, three times the capacity of a small node's link.
--- a/modules/peers/peer_row.h
+++ b/modules/peers/peer_row.h
@@ -77,7 +77,9 @@
     bool hasDuties { true }; // The node is allowed to take the singleton duties, which one node at a time performs.
     bool holdsDuties { false };
     std::uint64_t leftDutiesFence { 0 }; // Last fencing token of the duties that the node no longer holds; 0 if none in this incarnation.
-    std::uint64_t fleetTimeMilliseconds { 0 }; // The sender's time of day when it sent the row.
+    // Time of day when the row was sent, in milliseconds since 1970, by the sender's own clock: the system time at its start plus the time
+    // elapsed since. The time agreed between the nodes is the median of these clocks.
+    std::uint64_t fleetTimeMilliseconds { 0 };
     std::uint64_t configurationVersion { 0 };
     bool watchesStore { false }; // The node has a working watch on the store.
     std::uint64_t endpointsRevision { 0 }; // The store's revision of the node's endpoint list.
@@ -91,7 +93,9 @@
     bool operator==(const PeerRow&) const = default;
 
     PeerContact contact() const { return { .node = node, .lifetime = lifetime, .gossipAddress = gossipAddress, .zone = zone, .processorPercent = processorPercent }; }
-    // A node without a working watch on the store could not take the lease, and a node that has just lost the lease may not know that yet.
+    // Whether the node is a candidate for taking the lease of the duties. Excluded are nodes that are shutting down, that are not allowed
+    // to take the duties, or that have no working watch on the store, as they could not take the lease. Also excluded, until its next
+    // start, is a node that has held the duties and lost them or given them up: otherwise orders of two nodes could alternate.
     bool canTakeDuties() const { return !leaving && hasDuties && watchesStore && leftDutiesFence == 0; }
 
     template <class Archive>
--- a/modules/suspects/suspect_tracker.h
+++ b/modules/suspects/suspect_tracker.h
@@ -19,8 +19,9 @@
 
 struct SuspectOptions {
     std::string node {}; // Name of this node; the time of its trials depends on it.
-    // Number of ended incarnations until a request is blocked; 0 disables all suspicion. Two could end at the same time for another
-    // reason, and would block a request that was sent only once.
+    // Number of ended incarnations until a request is blocked; 0 disables all suspicion. A value of 2 would be too low: if a client sends
+    // a request once and its endpoint ends, the request may be retried at a second endpoint. If that one ends, too, e.g. because their
+    // zone is lost, the request has two ended incarnations without having caused either end.
     unsigned livesUntilBlocked { 3 };
     // From this number of ended incarnations on, a node runs one copy of the request at a time: it may take seconds to end an endpoint,
     // and would reach several in the meantime. With a value of 1, popular requests would be delayed.
