--- a/modules/entry/entry_requests.cpp
+++ b/modules/entry/entry_requests.cpp
@@ -252,7 +252,7 @@
         .hasDuties = options.duties.reportsUsage || options.duties.ordersEndpoints,
         .holdsDuties = control.holdsDuties,
         .leftDutiesFence = control.leftDutiesFence,
-        .fleetTimeMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds() + ownClockDifference),
+        .sentAtMilliseconds = static_cast<std::uint64_t>(steadyMilliseconds() + ownClockDifference),
         .configurationVersion = configuration ? configuration->version() : 0,
         .watchesStore = control.watchesStore,
         .endpointsRevision = control.endpointsRevision,
--- a/modules/peers/fleet_relay.cpp
+++ b/modules/peers/fleet_relay.cpp
@@ -44,7 +44,7 @@
 void FleetRelay::setOwnRow(const PeerRow& row, SteadyTime now)
 {
     m_ownRow = row;
-    m_ownClockDifference = static_cast<std::int64_t>(row.fleetTimeMilliseconds) - steadyMilliseconds(now);
+    m_ownClockDifference = static_cast<std::int64_t>(row.sentAtMilliseconds) - steadyMilliseconds(now);
     m_self = row.contact();
     auto contacts = m_table.contactsIn(m_options.zone);
     contacts.push_back(m_self);
--- a/modules/peers/peer_row.h
+++ b/modules/peers/peer_row.h
@@ -79,7 +79,7 @@
     std::uint64_t leftDutiesFence { 0 }; // Last fencing token of the duties that the node no longer holds; 0 if none in this incarnation.
     // Time of day when the row was sent, in milliseconds since 1970, by the sender's own clock: the system time at its start plus the time
     // elapsed since. The time agreed between the nodes is the median of these clocks.
-    std::uint64_t fleetTimeMilliseconds { 0 };
+    std::uint64_t sentAtMilliseconds { 0 };
     std::uint64_t configurationVersion { 0 };
     bool watchesStore { false }; // The node has a working watch on the store.
     std::uint64_t endpointsRevision { 0 }; // The store's revision of the node's endpoint list.
@@ -95,13 +95,14 @@
     PeerContact contact() const { return { .node = node, .lifetime = lifetime, .gossipAddress = gossipAddress, .zone = zone, .processorPercent = processorPercent }; }
     // Whether the node is a candidate for taking the lease of the duties. Excluded are nodes that are shutting down, that are not allowed
     // to take the duties, or that have no working watch on the store, as they could not take the lease. Also excluded, until its next
-    // start, is a node that has held the duties and lost them or given them up: otherwise orders of two nodes could alternate.
+    // start, is a node that has held the duties and lost them or given them up: a node that has just lost the lease may have lost it
+    // because the store refuses it, and it may not have noticed yet that its watch on the store no longer works.
     bool canTakeDuties() const { return !leaving && hasDuties && watchesStore && leftDutiesFence == 0; }
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(node, lifetime, sequence, ageMilliseconds, zone, gossipAddress, controlAddress, processorPercent, leaving, hasDuties, holdsDuties, leftDutiesFence, fleetTimeMilliseconds, configurationVersion, watchesStore, endpointsRevision, teamTotals,
+        archive(node, lifetime, sequence, ageMilliseconds, zone, gossipAddress, controlAddress, processorPercent, leaving, hasDuties, holdsDuties, leftDutiesFence, sentAtMilliseconds, configurationVersion, watchesStore, endpointsRevision, teamTotals,
             loads, leavingEndpoints, demand, versions, suspects);
     }
 };
--- a/modules/peers/peer_table.cpp
+++ b/modules/peers/peer_table.cpp
@@ -24,7 +24,7 @@
     entry.contact = row.contact();
     entry.hasRow = true;
     entry.lastSeenAt = now;
-    entry.clockDifference = static_cast<std::int64_t>(row.fleetTimeMilliseconds) - std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
+    entry.clockDifference = static_cast<std::int64_t>(row.sentAtMilliseconds) - std::chrono::duration_cast<Milliseconds>(now.time_since_epoch()).count();
     return true;
 }
 
--- a/tests/modules/peers/test_peer_table.cpp
+++ b/tests/modules/peers/test_peer_table.cpp
@@ -69,7 +69,7 @@
     auto steady = std::chrono::duration_cast<Milliseconds>(at(0).time_since_epoch()).count();
     for (const auto& [node, difference] : std::map<std::string, int> { { "a", 1000 }, { "b", 1002 }, { "c", 3400 } }) {
         auto it = row(node, 1, 1);
-        it.fleetTimeMilliseconds = static_cast<std::uint64_t>(steady + difference);
+        it.sentAtMilliseconds = static_cast<std::uint64_t>(steady + difference);
         table.apply(it, at(0));
     }
     BOOST_TEST(table.clockDifference(1001, at(0)) == 1002);
