--- a/misc/build.sh
+++ b/misc/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing and builds everything. Arguments: the preset (release or sanitize).
+# Installs missing packages, configures CMake and builds all targets. Argument: the CMake preset, release (default) or sanitize.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 preset=${1:-release}
--- a/misc/check_format.sh
+++ b/misc/check_format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails where a source file is not as clang-format writes it. With --fix, writes it.
+# Fails if a .h or .cpp file differs from clang-format's output. With --fix, reformats the files in place instead.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files --cached --others --exclude-standard '*.h' '*.cpp')
--- a/misc/check_lint.sh
+++ b/misc/check_lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over every source file of the release build. Arguments: files, instead of all.
+# Runs clang-tidy on every .cpp file, with the compile commands of the release build. Arguments: the files to check instead of all.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake --preset release >/dev/null
@@ -8,10 +8,11 @@
 else
     mapfile -t files < <(git ls-files --cached --others --exclude-standard '*.cpp')
 fi
-# clang 14 knows coroutines by another switch than GCC, whose build this reads, and Asio asks for GCC's.
-extra=(
+# The compile commands are GCC's, but clang 14 enables coroutines with -fcoroutines-ts and doesn't define the feature macros that Asio
+# checks for with GCC, so both are set here.
+clang_arguments=(
     --extra-arg=-Wno-unknown-warning-option --extra-arg=-fcoroutines-ts --extra-arg=-Wno-deprecated-experimental-coroutine
     --extra-arg=-D__cpp_impl_coroutine=201902L --extra-arg=-Wno-builtin-macro-redefined
     --extra-arg=-DASIO_HAS_CO_AWAIT=1 --extra-arg=-DASIO_HAS_STD_COROUTINE=1
 )
-printf '%s\n' "${files[@]}" | xargs -P "$(nproc)" -n 1 clang-tidy -p build/release --quiet "${extra[@]}"
+printf '%s\n' "${files[@]}" | xargs -P "$(nproc)" -n 1 clang-tidy -p build/release --quiet "${clang_arguments[@]}"
--- a/misc/check_loops.sh
+++ b/misc/check_loops.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Finds loops over what a temporary holds: `for (x : *f())` and `for (x : f()->member)`. In C++20 the temporary ends before the loop
-# begins; where it was the last owner, the loop reads freed memory. Neither GCC 12 nor clang-tidy 14 warns of it.
+# Fails if a range-based for loop iterates over an object owned by a temporary: `for (x : *f())` or `for (x : f()->member)`. In C++20 the
+# temporary is destroyed before the first iteration; if it was the last owner, the loop reads freed memory. Neither GCC 12 nor clang-tidy
+# 14 warns about this.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 pattern='for \([^;]* : (\*[A-Za-z_.>-]+\(.*\)|[A-Za-z_.>-]+\([^)]*\)->.*)\)'
--- a/misc/demo.sh
+++ b/misc/demo.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Sets up, builds, and shows the whole path on this machine. Exits 0 only if every answer was whole.
+# Installs missing packages, builds, and runs the demo: a complete local cluster that serves requests while an instance is reclaimed.
+# Exits 0 only if every answer was complete.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./misc/build.sh release
--- a/misc/install_packages.sh
+++ b/misc/install_packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs every package that the build, the tests and the checks need, from Debian's packages.
-# Does nothing, and needs no network, where all of them are already there.
+# Installs the Debian packages that the build, the tests and the checks need. If all of them are installed already, exits without
+# accessing the network.
 set -euo pipefail
 
 packages=(
--- a/misc/play_kinds.py
+++ b/misc/play_kinds.py
@@ -1,7 +1,10 @@
 #!/usr/bin/env python3
-"""Plays every kind of trouble of the users' bench, alone, on days of its own: early, in the middle and twice, with a closing fault.
+"""Runs every kind of fault and planned operation of the users' benchmark, each kind on a simulated day of its own.
 
-Prints a line for each day that broke a rule, and a table at the end. Needs the users' kit; CI does not run it.
+The kind occurs at 0.5 s, at 14 s, at a random time from 17 to 21 s, and at 49 s; the day ends with a closing fault. With --pairs N, runs
+N days with two randomly chosen kinds each instead: the first at 0.5 s and from 17 to 21 s, the second at 14 s and 49 s.
+Prints one line per day with the rules it broke, then the number of days that broke a rule. CI does not run this script, because it needs
+the users' benchmark kit.
 
 Usage: play_kinds.py BENCH SITE [--jobs N] [--seed N] [--only TEXT] [--pairs N]
 """
@@ -14,8 +17,8 @@
 import subprocess
 import tempfile
 
-# (kind, fields); planned work stands in PLANNED.
-TROUBLES = [
+# Unplanned faults: (kind, TOML fields of the fault). Planned operations are in PLANNED_KINDS.
+FAULT_KINDS = [
     ("burst", 'x = 1.7, for_s = 4.0'),
     ("hot_key", 'share = 0.28, for_s = 5.0'),
     ("hot_tenant", 'x = 7.5, for_s = 6.0'),
@@ -55,7 +58,7 @@
     ("herd_kill", 'share = 1.0, for_s = 1.5, on = "core", how = "taken all"'),
     *[("platform_down", f'share = 0.5, for_s = 6.0, how = "{how}"') for how in ("nodes", "nodes reset revoke", "busy lapse")],
 ]
-PLANNED = [
+PLANNED_KINDS = [
     ("release", 'share = 0.5, x = 1.0, gap_s = 1.0'),
     *[("scale_in", f'share = 0.2, x = 2.5, for_s = 8.0, how = "{how}"') for how in ("", "spot", "reclaim", "reclaim dry")],
     ("scale_out", 'share = 0.3, gap_s = 1.0'),
@@ -70,48 +73,48 @@
     *[("revoke", f'count = 3, gap_s = 0.5, how = "{how}"') for how in ("", "last")],
     ("add_nodes", 'count = 2'),
 ]
-CLOSINGS = ['{ kind = "power_off_all", down_s = 1.0 }', '{ kind = "kill_all", down_s = 0.9 }', '{ kind = "power_off_all", down_s = 1.0, how = "timed" }']
+CLOSING_FAULTS = ['{ kind = "power_off_all", down_s = 1.0 }', '{ kind = "kill_all", down_s = 0.9 }', '{ kind = "power_off_all", down_s = 1.0, how = "timed" }']
 
 
-def entries(troubles, times):
-    return [f"  {{ at = {at}, kind = \"{kind}\", {fields} }}," for (kind, fields), at in zip(troubles, times)]
+def toml_entries(occurrences, times):
+    return [f"  {{ at = {at}, kind = \"{kind}\", {fields} }}," for (kind, fields), at in zip(occurrences, times)]
 
 
-def day_text(name, seed, planned, faults, closing):
+def day_toml(name, seed, planned, faults, closing):
     lines = ["[[day]]", f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}", f"closing = {closing}", "one = 1.0", "zero = 0.0", "goal = { floor = 0.0 }", "plan = [", *planned, "]", "faults = [", *faults, "]"]
     return "\n".join(lines) + "\n"
 
 
 def days(arguments):
-    chance = random.Random(arguments.seed)
-    every = [(it, True) for it in PLANNED] + [(it, False) for it in TROUBLES]
+    rng = random.Random(arguments.seed)
+    all_kinds = [(it, True) for it in PLANNED_KINDS] + [(it, False) for it in FAULT_KINDS]
     if arguments.pairs:
-        pairs = [(chance.choice(every), chance.choice(every)) for _ in range(arguments.pairs)]
+        pairs = [(rng.choice(all_kinds), rng.choice(all_kinds)) for _ in range(arguments.pairs)]
     else:
-        pairs = [(it, it) for it in every]
-    for number, ((first, first_planned), (second, second_planned)) in enumerate(pairs):
+        pairs = [(it, it) for it in all_kinds]
+    for index, ((first, is_first_planned), (second, is_second_planned)) in enumerate(pairs):
         name = f"{first[0]} {first[1]}" if not arguments.pairs else f"{first[0]} {first[1]} + {second[0]} {second[1]}"
         if arguments.only and arguments.only not in name:
             continue
         planned, faults = [], []
-        for (trouble, is_planned), at in ((((first, first_planned)), 0.5), ((second, second_planned), 14.0), ((first, first_planned), 17.0 + chance.random() * 4), ((second, second_planned), 49.0)):
-            (planned if is_planned else faults).extend(entries([trouble], [round(at, 2)]))
-        seed = arguments.seed * 1000 + number
-        yield name, seed, day_text("d", seed, planned, faults, CLOSINGS[number % len(CLOSINGS)])
+        for (occurrence, is_planned), at in ((((first, is_first_planned)), 0.5), ((second, is_second_planned), 14.0), ((first, is_first_planned), 17.0 + rng.random() * 4), ((second, is_second_planned), 49.0)):
+            (planned if is_planned else faults).extend(toml_entries([occurrence], [round(at, 2)]))
+        seed = arguments.seed * 1000 + index
+        yield name, seed, day_toml("d", seed, planned, faults, CLOSING_FAULTS[index % len(CLOSING_FAULTS)])
 
 
-def play(arguments, folder, name, seed, text):
+def run_day(arguments, folder, name, seed, text):
     path = pathlib.Path(folder) / f"{seed}.toml"
     path.write_text(text)
-    ran = subprocess.run([arguments.bench, "run", arguments.site, str(path), "--seed", str(seed), "--why", f"kind: {name[:120]}"], capture_output=True, text=True, timeout=300)
-    row = next((it for it in ran.stdout.splitlines() if it.startswith("d ")), "")
+    completed = subprocess.run([arguments.bench, "run", arguments.site, str(path), "--seed", str(seed), "--why", f"kind: {name[:120]}"], capture_output=True, text=True, timeout=300)
+    row = next((it for it in completed.stdout.splitlines() if it.startswith("d ")), "")
     broken = re.search(r"BROKEN: ([^(]*)", row)
-    first = re.findall(r"^the first that is wrong.*|^short of the gate.*|^rules broken.*", ran.stdout, re.M)
-    numbers = re.search(r"(-?\d+\.\d+)\s+(-?\d+\.\d+)\s+(\d+\.\d+)\s+(\d+\.\d+)\s+(\d+\.\d+)", row)
-    worth = numbers.group(2) if numbers else "?"
-    if "is not open" in ran.stdout + ran.stderr:
+    messages = re.findall(r"^the first that is wrong.*|^short of the gate.*|^rules broken.*", completed.stdout, re.M)
+    columns = re.search(r"(-?\d+\.\d+)\s+(-?\d+\.\d+)\s+(\d+\.\d+)\s+(\d+\.\d+)\s+(\d+\.\d+)", row)
+    worth = columns.group(2) if columns else "?"
+    if "is not open" in completed.stdout + completed.stderr:
         return name, seed, worth, "", ["(not open on this site: not played)"]
-    return name, seed, worth, broken.group(1).strip() if broken else ("" if row else "no result: " + (ran.stdout + ran.stderr)[-200:]), first[:2]
+    return name, seed, worth, broken.group(1).strip() if broken else ("" if row else "no result: " + (completed.stdout + completed.stderr)[-200:]), messages[:2]
 
 
 def main():
@@ -123,17 +126,17 @@
     parser.add_argument("--only", default="")
     parser.add_argument("--pairs", type=int, default=0)
     arguments = parser.parse_args()
-    broken = 0
-    played = 0
+    broken_count = 0
+    played_count = 0
     with tempfile.TemporaryDirectory() as folder, concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
-        waiting = [pool.submit(play, arguments, folder, *it) for it in days(arguments)]
-        for it in concurrent.futures.as_completed(waiting):
-            name, seed, worth, rules, first = it.result()
-            played += 1 if "not played" not in " ".join(first) else 0
-            if rules:
-                broken += 1
-            print(f"{'BROKEN' if rules else 'kept  '} worth {worth:>7} seed {seed} {name}" + (f": {rules} {' '.join(first)}" if rules or first else ""), flush=True)
-    print(f"{played} days, {broken} with a broken rule")
+        pending = [pool.submit(run_day, arguments, folder, *it) for it in days(arguments)]
+        for it in concurrent.futures.as_completed(pending):
+            name, seed, worth, broken_rules, messages = it.result()
+            played_count += 1 if "not played" not in " ".join(messages) else 0
+            if broken_rules:
+                broken_count += 1
+            print(f"{'BROKEN' if broken_rules else 'kept  '} worth {worth:>7} seed {seed} {name}" + (f": {broken_rules} {' '.join(messages)}" if broken_rules or messages else ""), flush=True)
+    print(f"{played_count} days, {broken_count} with a broken rule")
 
 
 if __name__ == "__main__":
--- a/misc/play_regressions.sh
+++ b/misc/play_regressions.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Plays the days of misc/bench_regressions.txt again, one after the other. Arguments: the folder of the users' pages (with bin/, sites/,
-# grown/, further/, large/), and a bench other than the one in bin/, as the later sites' pages ask for. Fails where a rule is broken. CI does
-# not run it: it needs the kit.
+# Reruns the benchmark days listed in misc/bench_regressions.txt, one after the other, and fails if a rule of the benchmark is broken.
+# Arguments: the folder of the users' benchmark kit (with bin/, sites/, grown/, further/, large/), and optionally a benchmark program to use
+# instead of the kit's bin/fleetbench, which later sites require. CI doesn't run this script, because it needs the kit.
 set -euo pipefail
 kit=$1
 bench=${2:-$kit/bin/fleetbench}
--- a/misc/slopes.sh
+++ b/misc/slopes.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md is worked out from. Arguments: nodes, streams, objects, entry-streams; none for all.
+# Builds and runs the measurement of how a node's costs grow with load; docs/CAPACITY.md is computed from the fitted slopes.
+# Arguments: the series to measure, any of nodes, streams, objects, entry-streams (default: all).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./misc/build.sh release >&2
--- a/misc/test.sh
+++ b/misc/test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Sets up, builds and runs every test.
+# Installs missing packages, builds the release preset, and runs all tests except those listed in KNOWN-RED.txt.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./misc/build.sh release
-# Tests that are known to fail, by the first word of each line; .ci/run prints them.
-known=$(awk 'NF { printf "%s^%s$", sep, $1; sep = "|" }' KNOWN-RED.txt)
-# Each test has processes and ports of its own; more at once than this would make them wait for the processor.
-ctest --test-dir build/release --output-on-failure --parallel 3 ${known:+--exclude-regex "$known"} "$@"
+# A regular expression of the tests known to fail: the first word of each line of KNOWN-RED.txt. .ci/run prints that file.
+known_failing=$(awk 'NF { printf "%s^%s$", sep, $1; sep = "|" }' KNOWN-RED.txt)
+# Tests use separate processes and ports, so they can run in parallel, but more than three at once would compete for the processor.
+ctest --test-dir build/release --output-on-failure --parallel 3 ${known_failing:+--exclude-regex "$known_failing"} "$@"
--- a/misc/what_binds.py
+++ b/misc/what_binds.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
-"""Tells what binds: plays days of the users' bench on several seeds, and prints where the worth of requests is lost.
+"""Runs days of the users' benchmark with several seeds, and prints which costs and failures lower the score ("worth") of each day.
 
-For each day: worth, its parts, each price, the worst moments, and with --causes the requests that were not answered in time, by
-outcome, route and moment, as the entry's own logs tell them, each with the id of one that `onyxnotch explain` can follow. With
---against, the change to a saved run. Boundary tool: the words of the bench stand here and are turned into ours. CI does not run it.
+For each day: its worth, the parts of the worth, each price subtracted from it, and the worst moments. With --causes, also the requests that
+were not answered in time according to the entry's logs, counted by outcome and route, with the most frequent moments and the id of one
+example for `onyxnotch explain`. With --against FILE, the change from a run saved by --save. Parses the benchmark's reports, so the
+benchmark's terms occur in this file and are translated to this project's terms. CI does not run this script.
 
 Usage: what_binds.py BENCH SITE [--days A,B] [--seeds N] [--jobs N] [--save FILE] [--against FILE] [--causes] [--why TEXT]
 """
@@ -17,8 +18,9 @@
 import subprocess
 import tempfile
 
-# Seeds beside each day's own: any numbers will do, the same ones in every round.
+# Seeds used in addition to each day's own. The values are arbitrary, but must not change, so that runs can be compared seed by seed.
 EXTRA_SEEDS = [1009, 2003, 3001, 4001, 5003, 6007, 7001, 8009, 9001]
+# The benchmark's name of each price, and the name printed here.
 PRICES = {
     "seconds of servers ordered": "engines",
     "machine-seconds": "instances",
@@ -36,26 +38,26 @@
     "worth broken off early": "broken off",
 }
 MOMENT_SECONDS = 4
-SERVED = ("answered", "streamed")  # Outcomes of whole answers in the entry's log.
+SERVED_OUTCOMES = ("answered", "streamed")  # Outcomes in the entry's log that mean a complete answer.
 LOG_LINE = re.compile(r"^\s*(-?[\d.]+) (\S+) (\{.*\})$")
 
 
-def standard_days(site):
+def days_of_site(site):
     return re.findall(r'\[\[day\]\]\nname = "([^"]+)"', pathlib.Path(site).read_text())
 
 
-def play(bench, site, day, seed, causes, why):
+def run_day(bench, site, day, seed, causes, why):
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [bench, "run", site, day, "--report", str(report)]
         command += ["--seed", str(seed)] if seed else []
         command += ["--log", "all"] if causes else []
         command += ["--why", why] if why else []
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
+        completed = subprocess.run(command, capture_output=True, text=True, check=False)
         if not report.exists():
-            raise RuntimeError(f"{day} seed {seed}: no report:\n{done.stdout[-2000:]}{done.stderr[-2000:]}")
+            raise RuntimeError(f"{day} seed {seed}: no report:\n{completed.stdout[-2000:]}{completed.stderr[-2000:]}")
         result = json.loads(report.read_text())
-    return summarize(result), lost_requests(done.stdout + done.stderr) if causes else {}
+    return summarize(result), lost_requests(completed.stdout + completed.stderr) if causes else {}
 
 
 def summarize(report):
@@ -70,7 +72,7 @@
 
 
 def lost_requests(text):
-    """Requests that the entry's logs show as not answered, or answered late: outcome, route -> count, one id, moments."""
+    """Returns the requests that the entry's logs show as unanswered or answered late: 'outcome | route' -> count, one id, count by moment."""
     lost = {}
     for line in text.splitlines():
         match = LOG_LINE.match(line)
@@ -81,7 +83,7 @@
         except json.JSONDecodeError:
             print(f"   a line that is no JSON was passed over: {line[:160]}")
             continue
-        served = entry["outcome"] in SERVED
+        served = entry["outcome"] in SERVED_OUTCOMES
         late = served and (entry["first_event_ms"] if entry["first_event_ms"] >= 0 else entry["ms"]) > entry["objective_ms"]
         if served and not late:
             continue
@@ -96,19 +98,19 @@
     return statistics.fmean(values) if values else 0.0
 
 
-def changes(runs, before):
-    """The change of worth, seed by seed: both lists are in the order of the seeds, and a seed that only one has is left out."""
-    return [now["worth"] - then["worth"] for now, then in zip(runs, before or [])]
+def worth_changes(runs, baseline):
+    """Returns the change of worth for each seed. Both lists are in the order of the seeds; seeds beyond the shorter list are ignored."""
+    return [now["worth"] - then["worth"] for now, then in zip(runs, baseline or [])]
 
 
-def print_day(day, runs, before):
+def print_day(day, runs, baseline):
     worths = [it["worth"] for it in runs]
-    change = f", change {mean(changes(runs, before)):+.3f}" if before else ""
+    change = f", change {mean(worth_changes(runs, baseline)):+.3f}" if baseline else ""
     print(f"{day}: worth {mean(worths):.3f} ({min(worths):.3f} to {max(worths):.3f}, {len(worths)} seeds{change}), served {mean([it['served'] for it in runs]):.3f}")
     print("   parts   " + ", ".join(f"{name} {mean([it['parts'][name] for it in runs]):.3f}" for name in runs[0]["parts"]))
     names = sorted({name for it in runs for name in it["prices"]}, key=lambda name: -mean([it["prices"].get(name, 0) for it in runs]))
-    shown = [(name, mean([it["prices"].get(name, 0) for it in runs])) for name in names]
-    print(f"   prices  {mean([it['price_total'] for it in runs]):.3f}: " + ", ".join(f"{name} {price:.3f}" for name, price in shown if price >= 0.001))
+    price_means = [(name, mean([it["prices"].get(name, 0) for it in runs])) for name in names]
+    print(f"   prices  {mean([it['price_total'] for it in runs]):.3f}: " + ", ".join(f"{name} {price:.3f}" for name, price in price_means if price >= 0.001))
     for kind in runs[0]["kinds"]:
         rows = [it["kinds"][kind] for it in runs if kind in it["kinds"]]
         owed = sum(it["n"] - it["not_owed"] for it in rows) or 1
@@ -138,22 +140,22 @@
     parser.add_argument("--causes", action="store_true")
     parser.add_argument("--why", default="")
     options = parser.parse_args()
-    days = options.days.split(",") if options.days else standard_days(options.site)
+    days = options.days.split(",") if options.days else days_of_site(options.site)
     subprocess.run([options.bench, "build"], check=True, capture_output=True)
-    before = json.loads(pathlib.Path(options.against).read_text()) if options.against else {}
+    baseline = json.loads(pathlib.Path(options.against).read_text()) if options.against else {}
     plays = [(day, seed) for day in days for seed in [None, *EXTRA_SEEDS][: options.seeds]]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        results = list(pool.map(lambda it: play(options.bench, options.site, *it, options.causes, options.why), plays))
+        results = list(pool.map(lambda it: run_day(options.bench, options.site, *it, options.causes, options.why), plays))
     runs = {day: [result[0] for (played, _), result in zip(plays, results) if played == day] for day in days}
     for day in days:
-        print_day(day, runs[day], before.get(day))
+        print_day(day, runs[day], baseline.get(day))
         if options.causes:
             print_causes(next(result[1] for (played, _), result in zip(plays, results) if played == day))
-    troubled = [day for day in days if not day.startswith("quiet")]
-    if troubled:
-        means = mean([it["worth"] for day in troubled for it in runs[day]])
-        paired = [it for day in troubled for it in changes(runs[day], before.get(day))]
-        print(f"days with trouble: mean worth {means:.3f}" + (f", change {mean(paired):+.3f} over {len(paired)} plays" if paired else ""))
+    trouble_days = [day for day in days if not day.startswith("quiet")]
+    if trouble_days:
+        means = mean([it["worth"] for day in trouble_days for it in runs[day]])
+        paired_changes = [it for day in trouble_days for it in worth_changes(runs[day], baseline.get(day))]
+        print(f"days with trouble: mean worth {means:.3f}" + (f", change {mean(paired_changes):+.3f} over {len(paired_changes)} plays" if paired_changes else ""))
     if options.save:
         pathlib.Path(options.save).write_text(json.dumps(runs, indent=1))
 
